--- a/src/gateway/cacheSurvey.ts
+++ b/src/gateway/cacheListLoader.ts
@@ -18,7 +18,7 @@
 /** Some ten thousand parts of a prompt, at 50 bytes each. */
 const MAX_LIST_BYTES = 512 * 1024;
 
-export interface CacheSurveyOptions {
+export interface CacheListLoaderOptions {
   replicas: ReplicaSet;
   client: ReplicaClient;
   form: RequestForm;
@@ -27,11 +27,11 @@
   now: () => number;
 }
 
-export class CacheSurvey {
+export class CacheListLoader {
   /** Epochs of the leases for which engines were asked, by service. */
   private readonly asked = new Map<string, number>();
 
-  constructor(private readonly options: CacheSurveyOptions) {}
+  constructor(private readonly options: CacheListLoaderOptions) {}
 
   /** Asks all engines at once, once for each time that the lease is taken. */
   async step(service: string, epoch: number): Promise<void> {
--- a/src/gateway/keyProof.ts
+++ b/src/gateway/configProofRequester.ts
@@ -19,7 +19,7 @@
 /** Pause between two questions, ms. */
 const ASK_MS = 300;
 
-export class KeyProof {
+export class ConfigProofRequester {
   private readonly askAfterMs: number;
 
   constructor(
--- a/src/gateway/engineCalls.ts
+++ b/src/gateway/engineCalls.ts
@@ -9,7 +9,7 @@
 import type { ReplicaEnds } from "./replicaEnds.js";
 import type { ReplicaSet } from "./replicaSet.js";
 import type { RequestForm } from "./requestForm.js";
-import type { ReadHandle, UpstreamSend } from "./types.js";
+import type { KvHandle, UpstreamSend } from "./types.js";
 import type { ReplicaClient } from "./replicaClient.js";
 import type { UpstreamClient, UpstreamReply } from "./upstreamClient.js";
 
@@ -26,7 +26,7 @@
       verdict: Verdict;
       why: string;
       /** The engine is not to blame. */
-      isBlameless?: boolean;
+      isNotEngineFault?: boolean;
       /** Nothing was sent: the engine wants nothing now. */
       isUnavailable?: boolean;
     };
@@ -99,7 +99,12 @@
     const barred = this.options.quarantine.refusal(caller);
     if (barred !== undefined) {
       const why = barred.message;
-      return { kind: "failed", verdict: "not-run", why, isBlameless: true };
+      return {
+        kind: "failed",
+        verdict: "not-run",
+        why,
+        isNotEngineFault: true,
+      };
     }
     const { head, body, claim } = caller;
     const { address, name: replicaName } = replica;
@@ -127,12 +132,12 @@
   }
 
   /** An engine answers nothing at all while it has a request. */
-  noteSilent(caller: CallerRequest, engine: string): void {
+  reportSilent(caller: CallerRequest, engine: string): void {
     this.options.ends.onSilent(caller, engine);
   }
 
   /** Tells the replica that nobody will take the handle. */
-  free(service: string, handle: ReadHandle): void {
+  releaseHandle(service: string, handle: KvHandle): void {
     const { upstream, form, log, now } = this.options;
     const begun = now();
     const cancellation = new BoundedCancellation(undefined, FREE_MS);
--- a/src/gateway/engineNews.ts
+++ b/src/gateway/engineFailureReporter.ts
@@ -2,73 +2,73 @@
 import type { Placement } from "../placement/index.js";
 import type { Log } from "../telemetry/index.js";
 import type { CallerRequest } from "./callerRequest.js";
-import type { Journey, Round } from "./journey.js";
+import type { RequestProgress, RoundResult } from "./requestProgress.js";
 import type { ReplicaSet } from "./replicaSet.js";
 
-export interface EngineNewsOptions {
+export interface EngineFailureReporterOptions {
   placement: Placement;
   replicas: ReplicaSet;
   log: Log;
   now: () => number;
 }
 
-export class EngineNews {
-  constructor(private readonly options: EngineNewsOptions) {}
+export class EngineFailureReporter {
+  constructor(private readonly options: EngineFailureReporterOptions) {}
 
   /** The engine says nothing at all: nobody else should wait for it. */
-  silentRead(journey: Journey, engine: string): Round {
+  onSilentRead(journey: RequestProgress, engine: string): RoundResult {
     const { caller, grantId } = journey;
-    this.noteSilent(journey, engine);
+    this.reportSilent(journey, engine);
     const why = "the engine says nothing";
-    this.logFault(caller, engine, "read", why);
+    this.logSendFailure(caller, engine, "read", why);
     const ended = { kind: "read" as const, id: grantId, ok: false };
     this.options.placement.note(caller.service, ended);
     return { kind: "failed", verdict: "not-run", why, avoid: engine };
   }
 
-  noteSilent({ caller, grantId }: Journey, engine: string): void {
+  reportSilent({ caller, grantId }: RequestProgress, engine: string): void {
     const news = { kind: "silent" as const, id: grantId, engine };
     this.options.placement.note(caller.service, news);
   }
 
   /** The engine wants no work now: it is not at fault, and holds no part. */
-  rejected(
-    journey: Journey,
+  onRejected(
+    journey: RequestProgress,
     engine: string,
     phase: string,
     why: string,
-  ): Round {
+  ): RoundResult {
     const { caller, grantId } = journey;
     const news = { kind: "rejected" as const, id: grantId };
     this.options.placement.note(caller.service, news);
-    this.logFault(caller, engine, phase, why);
+    this.logSendFailure(caller, engine, phase, why);
     return {
       kind: "failed",
       verdict: "not-run",
       why,
       avoid: engine,
-      isBlameless: true,
+      isNotEngineFault: true,
     };
   }
 
   /** The engine has changed its stage, or is gone: news, and no failure. */
-  wrongStage(journey: Journey, engine: string): Round {
+  onWrongStage(journey: RequestProgress, engine: string): RoundResult {
     const { caller, grantId } = journey;
     const news = { kind: "wrong-stage" as const, id: grantId, engine };
     this.options.placement.note(caller.service, news);
     this.options.replicas.deny(engine, this.options.now());
     const why = "the engine does something else now";
-    this.logFault(caller, engine, "place", why);
+    this.logSendFailure(caller, engine, "place", why);
     return {
       kind: "failed",
       verdict: "not-run",
       why,
       avoid: engine,
-      isBlameless: true,
+      isNotEngineFault: true,
     };
   }
 
-  logFault(
+  logSendFailure(
     caller: CallerRequest,
     replica: string,
     phase: string,
--- a/src/gateway/engineRun.ts
+++ b/src/gateway/engineRun.ts
@@ -2,11 +2,11 @@
 import type { Grant } from "../scheduling/index.js";
 import type { EngineCalls, EngineCallsOptions } from "./engineCalls.js";
 import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
-import type { EngineNews } from "./engineNews.js";
-import type { EngineMood, EngineWatch } from "./engineWatch.js";
-import { mayGoOn, overdueRound } from "./journey.js";
-import type { Journey, Round } from "./journey.js";
-import type { ReadHandle } from "./types.js";
+import type { EngineFailureReporter } from "./engineFailureReporter.js";
+import type { EngineActivity, EngineWatch } from "./engineWatch.js";
+import { canRetry, overdueResult } from "./requestProgress.js";
+import type { RequestProgress, RoundResult } from "./requestProgress.js";
+import type { KvHandle } from "./types.js";
 import type { UpstreamReply } from "./upstreamClient.js";
 import { readWholeBody } from "./upstreamClient.js";
 import { replyFault } from "./verdicts.js";
@@ -21,16 +21,16 @@
   constructor(
     private readonly calls: EngineCalls,
     private readonly watch: EngineWatch,
-    private readonly news: EngineNews,
+    private readonly news: EngineFailureReporter,
     private readonly options: EngineCallsOptions,
   ) {}
 
   /** `handle`: of its prompt, where another engine has read it. */
   async run(
-    journey: Journey,
+    journey: RequestProgress,
     grant: Grant,
-    handle: ReadHandle | undefined,
-  ): Promise<Round> {
+    handle: KvHandle | undefined,
+  ): Promise<RoundResult> {
     const { form, now } = this.options;
     const { runner } = grant;
     const readsItself = grant.reader === undefined;
@@ -38,10 +38,10 @@
     journey.runSentAt = now();
     journey.firstEventMs = 0;
     journey.readsAtRunner = readsItself;
-    const onNotWorking = (mood: EngineMood): void => {
+    const onNotWorking = (mood: EngineActivity): void => {
       if (mood !== "silent") return;
-      this.news.noteSilent(journey, runner);
-      this.calls.noteSilent(caller, runner);
+      this.news.reportSilent(journey, runner);
+      this.calls.reportSilent(caller, runner);
     };
     const watch = this.watch.start(
       caller.service,
@@ -61,31 +61,31 @@
     if (sent.kind === "failed") {
       if (sent.verdict !== "not-run") journey.runs += 1;
       if (caller.cancellation.isCancelled)
-        return overdueRound(journey, sent.verdict);
+        return overdueResult(journey, sent.verdict);
       if (sent.isUnavailable === true)
-        return this.news.rejected(journey, runner, "run", sent.why);
-      this.news.logFault(caller, runner, "run", sent.why);
+        return this.news.onRejected(journey, runner, "run", sent.why);
+      this.news.logSendFailure(caller, runner, "run", sent.why);
       return { ...sent, avoid: runner };
     }
     const { res } = sent;
     const reply = form.readReply(res.statusCode ?? 0, res.headers);
     if (reply.isMisdirected) {
       res.resume();
-      return this.news.wrongStage(journey, runner);
+      return this.news.onWrongStage(journey, runner);
     }
     if (reply.isNotRun) {
       res.resume();
       const why = `engine refused with ${reply.status}`;
       if (this.options.replicas.signals.isUnavailable(runner, now()))
-        return this.news.rejected(journey, runner, "run", why);
-      this.news.logFault(caller, runner, "run", why);
+        return this.news.onRejected(journey, runner, "run", why);
+      this.news.logSendFailure(caller, runner, "run", why);
       return { kind: "failed", verdict: "not-run", why, avoid: runner };
     }
     journey.runs += 1;
     const fault = replyFault(reply, caller.head.id);
     if (fault !== undefined) {
       res.destroy();
-      this.news.logFault(caller, runner, "run", fault);
+      this.news.logSendFailure(caller, runner, "run", fault);
       const verdict = "may-have-run";
       return { kind: "failed", verdict, why: fault, avoid: runner };
     }
@@ -94,7 +94,7 @@
     const headers = form.answerHeaders(res.rawHeaders);
     caller.beginStream(reply.status, headers);
     const end = await relay.run(sent);
-    const figures = { ...relay.figures() };
+    const figures = { ...relay.stats() };
     switch (end.kind) {
       case "complete":
         caller.endStream("streamed", figures);
@@ -105,8 +105,8 @@
         return { kind: "done" };
       case "cut":
         if (caller.cancellation.isCancelled)
-          return overdueRound(journey, "may-have-run");
-        this.news.logFault(caller, runner, "run", end.why);
+          return overdueResult(journey, "may-have-run");
+        this.news.logSendFailure(caller, runner, "run", end.why);
         return {
           kind: "failed",
           verdict: "may-have-run",
@@ -118,17 +118,17 @@
 
   /** A replica's own failure is passed on, unless a stream has begun. */
   private async answerFailure(
-    journey: Journey,
+    journey: RequestProgress,
     sent: UpstreamReply,
     runner: string,
-  ): Promise<Round> {
+  ): Promise<RoundResult> {
     const { caller } = journey;
     const { res } = sent;
     const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
     const status = res.statusCode ?? 0;
     const why = `engine failed with ${status}`;
     const isFinal = whole.kind === "whole" && !caller.hasBegun;
-    if (isFinal && !mayGoOn({ ...journey, verdict: "may-have-run" })) {
+    if (isFinal && !canRetry({ ...journey, verdict: "may-have-run" })) {
       const headers = this.options.form.answerHeaders(res.rawHeaders);
       caller.answerWhole(status, headers, whole.body);
       return { kind: "done" };
--- a/src/gateway/engineWatch.ts
+++ b/src/gateway/engineWatch.ts
@@ -14,7 +14,7 @@
 const REPORT_MS = 250;
 
 /** What an engine turned out to do. */
-export type EngineMood = "working" | "idle" | "silent";
+export type EngineActivity = "working" | "idle" | "silent";
 
 export class EngineWatch {
   constructor(private readonly options: EngineCallsOptions) {}
@@ -24,7 +24,7 @@
     service: string,
     engine: string,
     pauseMs: number,
-    onNotWorking: (mood: EngineMood) => void,
+    onNotWorking: (mood: EngineActivity) => void,
   ): Cancellation {
     const over = new Cancellation();
     const look = async (): Promise<void> => {
@@ -44,7 +44,7 @@
     return over;
   }
 
-  private async moodOf(service: string, id: string): Promise<EngineMood> {
+  private async moodOf(service: string, id: string): Promise<EngineActivity> {
     const { replicas, client, form } = this.options;
     const replica = replicas.get(id);
     if (replica === undefined) return "idle";
--- a/src/gateway/eventSplitter.ts
+++ b/src/gateway/eventSplitter.ts
@@ -19,12 +19,12 @@
   private held: Buffer = Buffer.alloc(0);
 
   /** Bytes of an event whose end has not come. */
-  get heldBytes(): number {
+  get pendingBytes(): number {
     return this.held.length;
   }
 
   /** Takes bytes; gives the events that are whole by now. */
-  take(chunk: Buffer): WholeEvents {
+  push(chunk: Buffer): WholeEvents {
     const all =
       this.held.length === 0 ? chunk : Buffer.concat([this.held, chunk]);
     const end = Math.max(
@@ -41,7 +41,7 @@
   }
 
   /** What is held at the regular end of the stream. */
-  rest(): Buffer {
+  flush(): Buffer {
     const { held } = this;
     this.held = Buffer.alloc(0);
     return held;
--- a/src/gateway/gatewayDaemon.ts
+++ b/src/gateway/gatewayDaemon.ts
@@ -10,7 +10,7 @@
 import { newMetricsServer } from "./metricsServer.js";
 import { createPlacementRole } from "./placementRole.js";
 import { PlainFlow } from "./plainFlow.js";
-import type { GatewayParts } from "./parts.js";
+import type { GatewayDependencies } from "./gatewayDependencies.js";
 import { createQuarantineRole } from "./quarantineRole.js";
 import { RateLimits } from "../rateLimits/index.js";
 import { ReplicaClient } from "./replicaClient.js";
@@ -72,7 +72,7 @@
 
 export const startGateway = async (
   settings: GatewaySettings,
-  parts: GatewayParts,
+  parts: GatewayDependencies,
 ): Promise<Daemon> => {
   const { form, source, feed, log, metrics, rng, now, leaseNow } = parts;
   const { domain, id } = settings;
--- a/src/gateway/parts.ts
+++ b/src/gateway/gatewayDependencies.ts
@@ -7,7 +7,7 @@
 import type { RequestForm } from "./requestForm.js";
 
 /** Ports and helpers that a process is given besides its settings. */
-export interface GatewayParts {
+export interface GatewayDependencies {
   form: RequestForm;
   source: GatewaySource;
   feed: ObjectFeed;
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,6 +1,6 @@
 export { startGateway } from "./gatewayDaemon.js";
 export type { GatewaySettings } from "./gatewayDaemon.js";
-export type { GatewayParts } from "./parts.js";
+export type { GatewayDependencies } from "./gatewayDependencies.js";
 export { startScheduler } from "./schedulerDaemon.js";
 export type { SchedulerSettings } from "./schedulerDaemon.js";
 export type { GatewaySource } from "./gatewayState.js";
@@ -11,7 +11,7 @@
   GatewayService,
   InboundHead,
   PromptShape,
-  ReadHandle,
+  KvHandle,
   Replica,
   ReplicaSignal,
   ReplyHead,
--- a/src/gateway/holderWork.ts
+++ b/src/gateway/leaseHolderTasks.ts
@@ -6,13 +6,13 @@
 import type { RateLimits } from "../rateLimits/index.js";
 import type { Supervisor } from "../tasks/index.js";
 import type { Log } from "../telemetry/index.js";
-import { CacheSurvey } from "./cacheSurvey.js";
+import { CacheListLoader } from "./cacheListLoader.js";
 import type { GatewayState } from "./gatewayState.js";
 import type { ReplicaClient } from "./replicaClient.js";
 import type { RequestForm } from "./requestForm.js";
-import { StageKeeper } from "./stageKeeper.js";
+import { StageController } from "./stageController.js";
 
-export interface HolderWorkOptions {
+export interface LeaseHolderTasksOptions {
   /** Name of the process. */
   id: string;
   /** Time that orders of two holders must lie apart, ms. */
@@ -29,13 +29,13 @@
   now: () => number;
 }
 
-export class HolderWork {
-  private readonly survey: CacheSurvey;
-  private readonly keepers = new Map<string, StageKeeper>();
+export class LeaseHolderTasks {
+  private readonly survey: CacheListLoader;
+  private readonly keepers = new Map<string, StageController>();
 
-  constructor(private readonly options: HolderWorkOptions) {
+  constructor(private readonly options: LeaseHolderTasksOptions) {
     const { replicas } = options.state;
-    this.survey = new CacheSurvey({ ...options, replicas });
+    this.survey = new CacheListLoader({ ...options, replicas });
   }
 
   /** Steps each `periodMs`; a slow engine holds up no order of stage. */
@@ -68,10 +68,10 @@
     }
   }
 
-  private newKeeper(service: string): StageKeeper {
+  private newKeeper(service: string): StageController {
     const { id, orderLeaseMs, state, local, placement, ...rest } = this.options;
     const { client, rates, form, log, now } = rest;
-    return new StageKeeper({
+    return new StageController({
       service,
       self: id,
       leaseMs: orderLeaseMs,
--- a/src/gateway/placementRole.ts
+++ b/src/gateway/placementRole.ts
@@ -13,10 +13,10 @@
 import type { Supervisor } from "../tasks/index.js";
 import type { Log } from "../telemetry/index.js";
 import type { DutyPort, KeyBounds, UsageWindows } from "../workspaces/index.js";
-import { FleetDuties } from "./fleetDuties.js";
+import { UsageTracker } from "./usageTracker.js";
 import type { GatewayState } from "./gatewayState.js";
-import { HolderWork } from "./holderWork.js";
-import { KeyProof } from "./keyProof.js";
+import { LeaseHolderTasks } from "./leaseHolderTasks.js";
+import { ConfigProofRequester } from "./configProofRequester.js";
 import type { ReplicaClient } from "./replicaClient.js";
 import type { RequestForm } from "./requestForm.js";
 
@@ -114,7 +114,7 @@
     leaseMark: (service) => placement.leaseMark(service),
     configNews: (known) => state.configNews(known),
     onLeaving: (engine) => state.replicas.signals.leave(engine, now()),
-    onUsage: (process, window) => duties?.onTold(process, window),
+    onUsage: (process, window) => duties?.onPeerCounts(process, window),
     rates: () => rates.all(now()),
     onRate: (news) => placement.permits.learn([news]),
     permit: (replica) => placement.permits.permitHere(replica),
@@ -127,8 +127,12 @@
     placement.permits.tell(serviceOf(news.replica), news);
   const duties = newDuties(options, placement);
   address = await peers.listen(options.peerAddress);
-  const work = new HolderWork({ ...options, local, placement });
-  const keyProof = new KeyProof(state, placement, options.keyBounds);
+  const work = new LeaseHolderTasks({ ...options, local, placement });
+  const keyProof = new ConfigProofRequester(
+    state,
+    placement,
+    options.keyBounds,
+  );
   const step = async (): Promise<void> => {
     state.expire();
     local.expire();
@@ -157,11 +161,11 @@
 const newDuties = (
   options: PlacementRoleOptions,
   placement: SharedPlacement,
-): FleetDuties | undefined => {
+): UsageTracker | undefined => {
   const { id, usage, duties, orderLeaseMs, services, ...rest } = options;
   if (usage === undefined || duties === undefined) return undefined;
   const { feed, log, now, wallNow } = rest;
-  return new FleetDuties({
+  return new UsageTracker({
     self: id,
     windows: usage,
     port: duties,
--- a/src/gateway/promptReader.ts
+++ b/src/gateway/promptReader.ts
@@ -7,8 +7,8 @@
 import type { CallerRequest } from "./callerRequest.js";
 import type { EngineCalls, EngineCallsOptions } from "./engineCalls.js";
 import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
-import type { EngineMood, EngineWatch } from "./engineWatch.js";
-import type { ReadHandle } from "./types.js";
+import type { EngineActivity, EngineWatch } from "./engineWatch.js";
+import type { KvHandle } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
 /** An engine is looked at after this many times the expected time, … */
@@ -16,7 +16,7 @@
 /** … and this many ms on top, for the hops and the estimate's error. */
 const READ_SLACK_MS = 250;
 export type ReadOutcome =
-  | { kind: "read"; handle: ReadHandle }
+  | { kind: "read"; handle: KvHandle }
   | { kind: "wrong-stage" }
   /** The engine wants no work now. */
   | { kind: "unavailable"; why: string }
@@ -25,7 +25,7 @@
   | { kind: "failed"; why: string };
 
 /** What to read, and where. */
-export interface ReadOrder {
+export interface ReadRequest {
   reader: string;
   /** Expected time until it is read, ms. */
   expectedMs: number;
@@ -45,12 +45,12 @@
    * Ends also when the engine is lost, or has lost the read. One that is
    * merely slow is waited for: cutting it throws away what was read.
    */
-  async read(caller: CallerRequest, order: ReadOrder): Promise<ReadOutcome> {
+  async read(caller: CallerRequest, order: ReadRequest): Promise<ReadOutcome> {
     const { reader, expectedMs } = order;
     const stop = new BoundedCancellation(caller.cancellation, undefined);
     const pauseMs = expectedMs * READ_PATIENCE + READ_SLACK_MS;
     let isSilent = false;
-    const onNotWorking = (mood: EngineMood): void => {
+    const onNotWorking = (mood: EngineActivity): void => {
       isSilent = mood === "silent";
       stop.cancel();
     };
@@ -71,7 +71,7 @@
 
   private async exchange(
     caller: CallerRequest,
-    { reader, cacheSource, grantedAt }: ReadOrder,
+    { reader, cacheSource, grantedAt }: ReadRequest,
     stop: Cancellation,
   ): Promise<ReadOutcome> {
     const { form } = this.options;
--- a/src/gateway/quarantineRole.ts
+++ b/src/gateway/quarantineRole.ts
@@ -1,5 +1,5 @@
 /** What an entry needs to bar requests that end the replicas that run them. */
-import type { GatewayParts } from "./parts.js";
+import type { GatewayDependencies } from "./gatewayDependencies.js";
 import type { GatewayState } from "./gatewayState.js";
 import { QuarantineKeeper } from "./quarantineKeeper.js";
 import { ReplicaEnds } from "./replicaEnds.js";
@@ -13,7 +13,7 @@
 /** `self`: name of this process. */
 export const createQuarantineRole = (
   self: string,
-  parts: GatewayParts,
+  parts: GatewayDependencies,
   state: GatewayState,
   client: UpstreamClient,
 ): QuarantineRole => {
--- a/src/gateway/replicaSet.ts
+++ b/src/gateway/replicaSet.ts
@@ -52,18 +52,20 @@
 
 /** An entry that does not say when its life began goes on with the known one. */
 const inLifeOf = (entry: Replica, known: Replica | undefined): Replica => {
-  const isSilent = entry.bornAt === undefined && known !== undefined;
-  return isSilent ? { ...entry, id: known.id, bornAt: known.bornAt } : entry;
+  const isSilent = entry.startedAt === undefined && known !== undefined;
+  return isSilent
+    ? { ...entry, id: known.id, startedAt: known.startedAt }
+    : entry;
 };
 
 /** Whether a report comes from another life than the one that is known. */
 export const isOtherLife = (
   replica: Replica,
-  report: Pick<EngineReport, "bornAt">,
+  report: Pick<EngineReport, "startedAt">,
 ): boolean =>
-  replica.bornAt !== undefined &&
-  report.bornAt !== undefined &&
-  replica.bornAt !== report.bornAt;
+  replica.startedAt !== undefined &&
+  report.startedAt !== undefined &&
+  replica.startedAt !== report.startedAt;
 
 export class ReplicaSet {
   /** What they have said of themselves. */
@@ -94,7 +96,7 @@
     const replica = inLifeOf(entry, before?.replica);
     const known = this.known.get(replica.id);
     const isOlderLife =
-      (replica.bornAt ?? 0) < (before?.replica.bornAt ?? 0) ||
+      (replica.startedAt ?? 0) < (before?.replica.startedAt ?? 0) ||
       (known !== undefined && revision < known.revision);
     if (isOlderLife) return [];
     const changes: ReplicaChange[] = [];
--- a/src/gateway/requestForm.ts
+++ b/src/gateway/requestForm.ts
@@ -6,7 +6,7 @@
 import type {
   EngineReport,
   InboundHead,
-  ReadHandle,
+  KvHandle,
   Replica,
   ReplicaSignal,
   ReplyHead,
@@ -48,9 +48,9 @@
   answerHeaders(rawHeaders: readonly string[]): string[];
   failureAnswer(failure: RequestFailure, requestId: string): FailureAnswer;
   /** The handle in the answer to a `read`; undefined if it holds none. */
-  readHandle(address: string, body: string): ReadHandle | undefined;
+  readHandle(address: string, body: string): KvHandle | undefined;
   /** Path of the call that frees a handle at the replica that holds it. */
-  freeHandlePath(handle: ReadHandle): string;
+  freeHandlePath(handle: KvHandle): string;
   /** Asks an engine what it does. */
   reportCall(replica: Replica): ReplicaCall;
   /** Throws where the body is no report. */
--- a/src/gateway/journey.ts
+++ b/src/gateway/requestProgress.ts
@@ -13,7 +13,7 @@
 const LEAST_LEFT_MS = 30;
 
 /** What one round of placement, read and run came to. */
-export type Round =
+export type RoundResult =
   | { kind: "done" }
   | { kind: "refused"; failure: RequestFailure }
   | {
@@ -23,11 +23,11 @@
       /** Engine to leave out in the next round. */
       avoid: string;
       /** The engine is not to blame. */
-      isBlameless?: boolean;
+      isNotEngineFault?: boolean;
     };
 
 /** What a request carries from round to round. */
-export interface Journey {
+export interface RequestProgress {
   caller: CallerRequest;
   relay: StreamRelay;
   avoid: string[];
@@ -45,11 +45,11 @@
   readsAtRunner: boolean;
 }
 
-export const newJourney = (
+export const newRequestProgress = (
   caller: CallerRequest,
   onFirstEvent: () => void,
   now: () => number,
-): Journey => ({
+): RequestProgress => ({
   caller,
   relay: new StreamRelay(caller, onFirstEvent, now),
   avoid: [],
@@ -64,7 +64,7 @@
 });
 
 /** Whether another round is allowed, and worth it. */
-export const mayGoOn = (journey: Journey): boolean => {
+export const canRetry = (journey: RequestProgress): boolean => {
   const { caller, verdict, rounds, runs } = journey;
   if (caller.cancellation.isCancelled || rounds >= MAX_ROUNDS) return false;
   if (caller.leftMs() < LEAST_LEFT_MS) return false;
@@ -74,10 +74,10 @@
 };
 
 /** The round that ends a request whose time is over. */
-export const overdueRound = (
-  journey: Journey,
+export const overdueResult = (
+  journey: RequestProgress,
   verdict: Verdict = "not-run",
-): Round => {
+): RoundResult => {
   const worse = worseVerdict(journey.verdict, verdict);
   return { kind: "refused", failure: overdueFailure(worse) };
 };
@@ -86,8 +86,8 @@
  * What the scheduler has to know of it. `domain`: of this process; `unavailable`:
  * engines that want nothing from it for now.
  */
-export const askOf = (
-  journey: Journey,
+export const toPlacementAsk = (
+  journey: RequestProgress,
   domain: string,
   unavailable: string[],
 ): PlacementAsk => {
@@ -99,7 +99,7 @@
     : caller.route.objectiveMs - elapsedMs;
   const silenceMs = caller.hasBegun
     ? caller.leftMs()
-    : caller.route.silenceMs - elapsedMs;
+    : caller.route.maxEventGapMs - elapsedMs;
   return {
     id: grantId,
     service: caller.service,
--- a/src/gateway/schedulerDaemon.ts
+++ b/src/gateway/schedulerDaemon.ts
@@ -5,7 +5,7 @@
  */
 import type { Daemon } from "../daemon/types.js";
 import { Supervisor } from "../tasks/index.js";
-import type { GatewayParts } from "./parts.js";
+import type { GatewayDependencies } from "./gatewayDependencies.js";
 import { GatewayState } from "./gatewayState.js";
 import { createPlacementRole } from "./placementRole.js";
 import type { KeyBounds, UsageWindows } from "../workspaces/index.js";
@@ -32,7 +32,7 @@
 
 export const startScheduler = async (
   settings: SchedulerSettings,
-  parts: GatewayParts,
+  parts: GatewayDependencies,
 ): Promise<Daemon> => {
   const { form, source, feed, log, metrics, rng, now, leaseNow } = parts;
   const { id } = settings;
--- a/src/gateway/stageKeeper.ts
+++ b/src/gateway/stageController.ts
@@ -36,7 +36,7 @@
   why: string;
 }
 
-export interface StageKeeperOptions {
+export interface StageControllerOptions {
   service: string;
   self: string;
   leaseMs: number;
@@ -55,14 +55,14 @@
   since: number;
 }
 
-export class StageKeeper {
+export class StageController {
   private readonly changing = new Map<string, Changing>();
   private readonly lastChange = { prefill: -Infinity, decode: -Infinity };
   private refusedUntil = 0;
   private readonly guard: TakeoverGuard;
   private readonly demand = new StageDemand();
 
-  constructor(private readonly options: StageKeeperOptions) {
+  constructor(private readonly options: StageControllerOptions) {
     const { authority, service, leaseMs } = options;
     this.guard = new TakeoverGuard(authority, service, leaseMs);
   }
--- a/src/gateway/storeWatch.ts
+++ b/src/gateway/storeWatch.ts
@@ -2,25 +2,25 @@
 import { FeedWatch, watchWaitMs } from "../store/index.js";
 import type { Supervisor } from "../tasks/index.js";
 import { provenAt } from "../workspaces/index.js";
-import type { GatewayParts } from "./parts.js";
+import type { GatewayDependencies } from "./gatewayDependencies.js";
 import type { GatewayState } from "./gatewayState.js";
 
 /** While false, a kind is not followed; afterwards its list is read anew. */
-export interface WatchActivity {
+export interface WatchConditions {
   config: () => boolean;
   replicas: () => boolean;
 }
 
-const ALWAYS: WatchActivity = { config: () => true, replicas: () => true };
+const ALWAYS: WatchConditions = { config: () => true, replicas: () => true };
 
 /** Follows the configuration and the replicas. */
 export const watchStore = (
   supervisor: Supervisor,
-  { source, feed, log, rng, now, leaseNow }: GatewayParts,
+  { source, feed, log, rng, now, leaseNow }: GatewayDependencies,
   state: GatewayState,
   /** Time after a cut within which the process must know the news, ms. */
   catchUpMs: number,
-  isActive: WatchActivity = ALWAYS,
+  isActive: WatchConditions = ALWAYS,
 ): void => {
   const waitMs = watchWaitMs(catchUpMs);
   const common = { feed, log, rng, now, leaseNow, waitMs };
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -16,14 +16,19 @@
 import type { CallerRequest } from "./callerRequest.js";
 import { EngineCalls } from "./engineCalls.js";
 import type { EngineCallsOptions } from "./engineCalls.js";
-import { EngineNews } from "./engineNews.js";
+import { EngineFailureReporter } from "./engineFailureReporter.js";
 import { EngineRun } from "./engineRun.js";
 import { EngineWatch } from "./engineWatch.js";
-import { askOf, mayGoOn, newJourney, overdueRound } from "./journey.js";
-import type { Journey, Round } from "./journey.js";
+import {
+  toPlacementAsk,
+  canRetry,
+  newRequestProgress,
+  overdueResult,
+} from "./requestProgress.js";
+import type { RequestProgress, RoundResult } from "./requestProgress.js";
 import { PromptReader } from "./promptReader.js";
 import type { RetryBudgets } from "./retryBudgets.js";
-import type { ReadHandle } from "./types.js";
+import type { KvHandle } from "./types.js";
 import { afterBackOffMs, failureOf } from "./verdicts.js";
 
 export interface StreamFlowOptions extends EngineCallsOptions {
@@ -42,7 +47,7 @@
 
 export class StreamFlow {
   private readonly calls: EngineCalls;
-  private readonly news: EngineNews;
+  private readonly news: EngineFailureReporter;
   private readonly reader: PromptReader;
   private readonly engineRun: EngineRun;
   private sequence = 0;
@@ -53,7 +58,7 @@
     private readonly entryId: string,
   ) {
     this.calls = new EngineCalls(options);
-    this.news = new EngineNews(options);
+    this.news = new EngineFailureReporter(options);
     const watch = new EngineWatch(options);
     this.reader = new PromptReader(this.calls, watch, options);
     this.engineRun = new EngineRun(this.calls, watch, this.news, options);
@@ -62,7 +67,11 @@
   async run(caller: CallerRequest): Promise<void> {
     const { budgets, now } = this.options;
     const onFirstEvent = () => this.noteBegun(journey);
-    const journey: Journey = newJourney(caller, onFirstEvent, now);
+    const journey: RequestProgress = newRequestProgress(
+      caller,
+      onFirstEvent,
+      now,
+    );
     for (;;) {
       const sentBefore = caller.sentTo.length;
       const round = await this.round(journey);
@@ -76,13 +85,13 @@
       journey.avoid.push(round.avoid);
       if (caller.isCallerGone) return;
       const failure = failureOf(journey.verdict, round.why);
-      if (!mayGoOn(journey)) return this.giveUp(journey, failure);
+      if (!canRetry(journey)) return this.giveUp(journey, failure);
       if (sends > 0 && !budgets.spend(caller.service))
         return this.giveUp(journey, failure);
     }
   }
 
-  private async round(journey: Journey): Promise<Round> {
+  private async round(journey: RequestProgress): Promise<RoundResult> {
     const { placement } = this.options;
     const { caller } = journey;
     const barred = this.options.quarantine.refusal(caller);
@@ -91,7 +100,7 @@
     this.sequence += 1;
     journey.grantId = `${this.entryId}/${this.sequence}`;
     const answer = await this.place(journey);
-    if (answer === undefined) return overdueRound(journey);
+    if (answer === undefined) return overdueResult(journey);
     if (answer.kind === "refused") {
       const failure = failureOf(journey.verdict, `no engine: ${answer.why}`);
       const retryAfterMs = this.retryAfterMs(caller, answer);
@@ -107,7 +116,7 @@
     let isDone = false;
     try {
       const round = await this.carryOut(journey, answer);
-      isGood = round.kind !== "failed" || round.isBlameless === true;
+      isGood = round.kind !== "failed" || round.isNotEngineFault === true;
       isDone = round.kind === "done";
       return round;
     } finally {
@@ -137,7 +146,9 @@
   }
 
   /** Where it goes; undefined if it was cancelled before that was known. */
-  private place(journey: Journey): Promise<PlacementAnswer | undefined> {
+  private place(
+    journey: RequestProgress,
+  ): Promise<PlacementAnswer | undefined> {
     const { placement, replicas, domain, now } = this.options;
     const { caller, grantId } = journey;
     const { service } = caller;
@@ -155,15 +166,18 @@
         if (isGranted) placement.note(service, endedUnused(grantId));
       };
       placement
-        .place(askOf(journey, domain, unavailable))
+        .place(toPlacementAsk(journey, domain, unavailable))
         .then(onAnswer, reject);
     });
   }
 
-  private async carryOut(journey: Journey, grant: Grant): Promise<Round> {
+  private async carryOut(
+    journey: RequestProgress,
+    grant: Grant,
+  ): Promise<RoundResult> {
     const { caller } = journey;
-    if (caller.cancellation.isCancelled) return overdueRound(journey);
-    let handle: ReadHandle | undefined;
+    if (caller.cancellation.isCancelled) return overdueResult(journey);
+    let handle: KvHandle | undefined;
     if (grant.reader !== undefined) {
       const read = await this.readPrompt(journey, grant, grant.reader);
       if (read.kind !== "read") return read;
@@ -171,15 +185,15 @@
     }
     const round = await this.engineRun.run(journey, grant, handle);
     if (round.kind !== "done" && handle !== undefined)
-      this.calls.free(caller.service, handle);
+      this.calls.releaseHandle(caller.service, handle);
     return round;
   }
 
   private async readPrompt(
-    journey: Journey,
+    journey: RequestProgress,
     grant: Grant,
     reader: string,
-  ): Promise<Round | { kind: "read"; handle: ReadHandle }> {
+  ): Promise<RoundResult | { kind: "read"; handle: KvHandle }> {
     const { placement } = this.options;
     const { caller, grantId } = journey;
     const order = {
@@ -190,23 +204,23 @@
     };
     const read = await this.reader.read(caller, order);
     if (read.kind === "wrong-stage")
-      return this.news.wrongStage(journey, reader);
-    if (read.kind === "silent") return this.news.silentRead(journey, reader);
+      return this.news.onWrongStage(journey, reader);
+    if (read.kind === "silent") return this.news.onSilentRead(journey, reader);
     if (read.kind === "unavailable" && !caller.cancellation.isCancelled)
-      return this.news.rejected(journey, reader, "read", read.why);
+      return this.news.onRejected(journey, reader, "read", read.why);
     const ok = read.kind === "read";
     placement.note(caller.service, { kind: "read", id: grantId, ok });
     if (read.kind === "read") {
       if (!caller.cancellation.isCancelled) return read;
-      this.calls.free(caller.service, read.handle);
-      return overdueRound(journey);
+      this.calls.releaseHandle(caller.service, read.handle);
+      return overdueResult(journey);
     }
-    if (caller.isOverdue) return overdueRound(journey);
-    this.news.logFault(caller, reader, "read", read.why);
+    if (caller.isOverdue) return overdueResult(journey);
+    this.news.logSendFailure(caller, reader, "read", read.why);
     return { kind: "failed", verdict: "not-run", why: read.why, avoid: reader };
   }
 
-  private noteBegun(journey: Journey): void {
+  private noteBegun(journey: RequestProgress): void {
     const { caller, grantId } = journey;
     caller.noteBegun();
     journey.firstEventMs = this.options.now() - journey.runSentAt;
@@ -215,12 +229,12 @@
     this.options.placement.note(caller.service, event);
   }
 
-  private giveUp(journey: Journey, failure: RequestFailure): void {
+  private giveUp(journey: RequestProgress, failure: RequestFailure): void {
     if (journey.caller.isCallerGone) return;
     journey.caller.fail(failure);
   }
 
-  private logGrant({ caller, rounds }: Journey, grant: Grant): void {
+  private logGrant({ caller, rounds }: RequestProgress, grant: Grant): void {
     this.options.log.info("placed", {
       requestId: caller.head.id,
       reader: grant.reader,
--- a/src/gateway/streamRelay.ts
+++ b/src/gateway/streamRelay.ts
@@ -16,7 +16,7 @@
   { kind: "complete" } | { kind: "cut"; why: string } | { kind: "caller-gone" };
 
 /** How a stream went, for the log; times are ms. */
-export interface StreamFigures {
+export interface StreamStats {
   /** Pieces that were passed on: one or more events each. */
   events: number;
   longestPauseMs: number;
@@ -49,7 +49,7 @@
   ) {}
 
   /** What is known of the stream so far, for the log; times are ms. */
-  figures(): StreamFigures {
+  stats(): StreamStats {
     const now = this.now();
     const holdMs = this.heldSince === undefined ? 0 : now - this.heldSince;
     return {
@@ -74,7 +74,7 @@
       const splitter = new EventSplitter();
       let end: RunEnd = { kind: "cut", why: "the answer was cut" };
       reply.on("data", (chunk: Buffer) => {
-        const whole = splitter.take(chunk);
+        const whole = splitter.push(chunk);
         if (whole.bytes.length > 0) this.pass(reply, whole);
       });
       reply.on("error", (err) => {
@@ -83,7 +83,7 @@
       reply.on("close", () => {
         if (this.caller.isCallerGone) return resolve({ kind: "caller-gone" });
         if (!isWhole()) return resolve(end);
-        const rest = splitter.rest();
+        const rest = splitter.flush();
         if (rest.length > 0) this.caller.res.write(rest);
         resolve({ kind: "complete" });
       });
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -32,7 +32,7 @@
    * Longest silence of a stream that callers bear, before its first event
    * too; unbounded where answers come whole, ms.
    */
-  silenceMs: number;
+  maxEventGapMs: number;
   /** 0 is the most urgent. */
   priority: number;
   /** Replicas that may run one request at the most. */
@@ -45,7 +45,7 @@
 }
 
 /** Sizes of a service's engines; absent for plain services. */
-export interface EngineSizes {
+export interface EngineSettings {
   slots: number;
   /** Tokens of KV cache that an engine holds. */
   kvCapacityTokens: number;
@@ -60,7 +60,7 @@
   name: string;
   /** Connections that one replica takes from all callers together. */
   maxConnections: number;
-  engine: EngineSizes | undefined;
+  engine: EngineSettings | undefined;
 }
 
 /** Limits on what callers send. */
@@ -91,7 +91,7 @@
   /** Under which it answers; a replica may keep it over a restart. */
   name: string;
   /** Start of this life, ms since 1970; undefined where it does not say. */
-  bornAt: number | undefined;
+  startedAt: number | undefined;
   service: string;
   /** IP and port. */
   address: string;
@@ -105,7 +105,7 @@
 /** What an engine says of itself, some hundred ms late. */
 export interface EngineReport {
   /** As in the list of replicas. */
-  bornAt: number | undefined;
+  startedAt: number | undefined;
   stage: Stage;
   /** An order is being carried out. */
   isBusy: boolean;
@@ -151,7 +151,7 @@
 }
 
 /** A prompt that another replica has read. */
-export interface ReadHandle {
+export interface KvHandle {
   /** Address of the replica that holds it. */
   address: string;
   id: string;
@@ -167,7 +167,7 @@
   /** `read`: the prompt alone; `run`: the answer. */
   phase: "read" | "run";
   /** The run goes on from this read prompt. */
-  handle?: ReadHandle;
+  handle?: KvHandle;
   /** Address of a replica whose cached parts it takes first. */
   cacheSource?: string;
   /** The run goes on after this event. */
@@ -201,5 +201,5 @@
   isEventStream: boolean;
   isEncoded: boolean;
   /** Its status tells a caller that nothing ran. */
-  isPromise: boolean;
+  statusMeansNotRun: boolean;
 }
--- a/src/gateway/fleetDuties.ts
+++ b/src/gateway/usageTracker.ts
@@ -25,7 +25,7 @@
 /** Period of looking for a report that is due, ms. */
 const REPORT_MS = 300;
 
-export interface FleetDutiesOptions {
+export interface UsageTrackerOptions {
   /** Name of this machine. */
   self: string;
   windows: UsageWindows;
@@ -41,14 +41,14 @@
   wallNow: () => number;
 }
 
-export class FleetDuties {
+export class UsageTracker {
   private readonly counts: UsageCounts;
   private readonly ledger = new UsageLedger();
   /** Names this life of the process: counts of an earlier one add to it. */
   private readonly process: string;
   private readonly reporters = new Map<string, UsageReporter>();
 
-  constructor(private readonly options: FleetDutiesOptions) {
+  constructor(private readonly options: UsageTrackerOptions) {
     const { self, windows, wallNow } = options;
     this.counts = new UsageCounts(windows, wallNow);
     this.process = `${self}/${Math.round(wallNow())}`;
@@ -65,7 +65,7 @@
   }
 
   /** Another process has counted so. */
-  onTold(process: string, window: WindowCounts): void {
+  onPeerCounts(process: string, window: WindowCounts): void {
     this.ledger.tell(process, window);
   }
 
@@ -86,7 +86,8 @@
     if (service === undefined) return;
     const news = this.counts.takeNews();
     if (placement.isHolder(service)) {
-      for (const window of this.counts.all()) this.onTold(this.process, window);
+      for (const window of this.counts.all())
+        this.onPeerCounts(this.process, window);
     } else if (news.length > 0) {
       placement.tellUsage(service, this.process, news);
     }
--- a/src/gateway/verdicts.ts
+++ b/src/gateway/verdicts.ts
@@ -22,7 +22,7 @@
   const isSuccess = reply.status >= 200 && reply.status < 300;
   if (isSuccess && !reply.isSigned) return "the answer is not signed";
   if (reply.isEncoded) return "the body is encoded";
-  if (!reply.isNotRun && reply.isPromise) {
+  if (!reply.isNotRun && reply.statusMeansNotRun) {
     return `status ${reply.status} without proof that nothing ran`;
   }
   return undefined;
--- a/tests/gateway/availability.test.ts
+++ b/tests/gateway/availability.test.ts
@@ -16,7 +16,7 @@
 const replica = (name: string, more: Partial<Replica> = {}): Replica => ({
   id: name,
   name,
-  bornAt: undefined,
+  startedAt: undefined,
   service: "plain",
   address: `10.0.0.1:${name.length}${name.charCodeAt(0)}`,
   domain: "domain-1",
@@ -172,10 +172,10 @@
 
   it("are used in their next life, and others at their address", () => {
     const replicas = new ReplicaSet();
-    put(replicas, replica("a", { id: "a@1", bornAt: 1 }));
+    put(replicas, replica("a", { id: "a@1", startedAt: 1 }));
     replicas.signals.note("a@1", LEAVES, true, 0);
     expect(names(replicas, 1)).to.deep.equal([]);
-    put(replicas, replica("a", { id: "a@2", bornAt: 2 }));
+    put(replicas, replica("a", { id: "a@2", startedAt: 2 }));
     expect(names(replicas, 1)).to.deep.equal(["a"]);
     const { address } = replica("a");
     put(replicas, replica("next", { address }));
--- a/tests/gateway/engineCalls.test.ts
+++ b/tests/gateway/engineCalls.test.ts
@@ -16,7 +16,7 @@
   replicas.put({
     id: "dec-1",
     name: "dec-1",
-    bornAt: undefined,
+    startedAt: undefined,
     service: "model",
     address: "10.0.0.1:1",
     domain: "domain-1",
--- a/tests/gateway/engineWatch.test.ts
+++ b/tests/gateway/engineWatch.test.ts
@@ -5,7 +5,7 @@
 import { RateLimits } from "../../src/rateLimits/index.js";
 import { seededRng } from "../../src/shared/rng.js";
 import { EngineWatch } from "../../src/gateway/engineWatch.js";
-import type { EngineMood } from "../../src/gateway/engineWatch.js";
+import type { EngineActivity } from "../../src/gateway/engineWatch.js";
 import type { EngineCallsOptions } from "../../src/gateway/engineCalls.js";
 import { ReplicaClient } from "../../src/gateway/replicaClient.js";
 import type { ReplicaClientOptions } from "../../src/gateway/replicaClient.js";
@@ -39,13 +39,13 @@
     server.close();
   });
 
-  const verdict = async (): Promise<EngineMood> => {
+  const verdict = async (): Promise<EngineActivity> => {
     const address = await listen(server, "127.0.0.1:0");
     const replicas = new ReplicaSet();
     replicas.put({
       id: "pre-1",
       name: "pre-1",
-      bornAt: undefined,
+      startedAt: undefined,
       service: "model",
       address,
       domain: "domain-1",
--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -25,7 +25,7 @@
   maxAttempts: 1,
   isResumable: false,
   isPublic: false,
-  silenceMs: Infinity,
+  maxEventGapMs: Infinity,
   targets: weights.map((weight, at) => ({ service: `s${at}`, weight })),
 });
 
@@ -67,7 +67,7 @@
   const replica = (id: string, more: Partial<Replica> = {}): Replica => ({
     id,
     name: id,
-    bornAt: undefined,
+    startedAt: undefined,
     service: "plain",
     address: `${id}:1`,
     domain: "domain-1",
@@ -141,11 +141,11 @@
   });
 
   describe("that started again under their name", () => {
-    const life = (bornAt: number | undefined, more: Partial<Replica> = {}) =>
-      replica(bornAt === undefined ? "a" : `a@${bornAt}`, {
+    const life = (startedAt: number | undefined, more: Partial<Replica> = {}) =>
+      replica(startedAt === undefined ? "a" : `a@${startedAt}`, {
         name: "a",
         address: "a:1",
-        bornAt,
+        startedAt,
         ...more,
       });
     const kinds = (changes: readonly { kind: string; replica: Replica }[]) =>
@@ -227,8 +227,8 @@
   it("passes events only when they are whole, at any cut", () => {
     for (let cut = 0; cut <= whole.length; cut += 1) {
       const splitter = new EventSplitter();
-      const first = splitter.take(Buffer.from(whole.slice(0, cut)));
-      const second = splitter.take(Buffer.from(whole.slice(cut)));
+      const first = splitter.push(Buffer.from(whole.slice(0, cut)));
+      const second = splitter.push(Buffer.from(whole.slice(cut)));
       expect(`${first.bytes}${second.bytes}`).to.equal(whole);
       expect(first.bytes.toString()).to.match(/^(id: \d\ndata: \w\n\n)*$/);
       expect(second.lastId ?? first.lastId).to.equal("2");
@@ -237,16 +237,16 @@
 
   it("holds what is left of an event", () => {
     const splitter = new EventSplitter();
-    const { bytes } = splitter.take(Buffer.from(`${whole}id: 3\ndata:`));
+    const { bytes } = splitter.push(Buffer.from(`${whole}id: 3\ndata:`));
     expect(bytes.toString()).to.equal(whole);
-    expect(splitter.heldBytes).to.equal(11);
+    expect(splitter.pendingBytes).to.equal(11);
   });
 
   it("takes line ends of two bytes", () => {
     const splitter = new EventSplitter();
-    const { lastId } = splitter.take(Buffer.from("id: 7\r\ndata\r\n\r\nid"));
+    const { lastId } = splitter.push(Buffer.from("id: 7\r\ndata\r\n\r\nid"));
     expect(lastId).to.equal("7");
-    expect(splitter.heldBytes).to.equal(2);
+    expect(splitter.pendingBytes).to.equal(2);
   });
 });
 
