--- a/src/gateway/engineCalls.ts
+++ b/src/gateway/engineCalls.ts
@@ -1,4 +1,4 @@
-/** Calls to model engines for one request: read, run, free a handle. */
+/** Calls to model engines for a request: prefill, run, release a KV handle. */
 import { BoundedCancellation } from "../shared/cancellation.js";
 import type { Cancellation } from "../shared/cancellation.js";
 import { errText } from "../shared/utils.js";
@@ -13,30 +13,30 @@
 import type { ReplicaClient } from "./replicaClient.js";
 import type { UpstreamClient, UpstreamReply } from "./upstreamClient.js";
 
-/** A handle's answer, a report or a failure's body is short, bytes. */
+/** Limit for handle responses, engine reports and error bodies, bytes. */
 export const MAX_SHORT_ANSWER_BYTES = 16 * 1024;
-/** The call that frees a handle is given up after this, ms. */
-const FREE_MS = 1000;
+/** Timeout of the call that releases a KV handle, ms. */
+const RELEASE_TIMEOUT_MS = 1000;
 
-/** The head of an answer and where it came from, or what is known instead. */
+/** The response head and the engine's address, or the failure. */
 export type EngineReply =
   | (UpstreamReply & { address: string })
   | {
       kind: "failed";
       verdict: Verdict;
       why: string;
-      /** The engine is not to blame. */
+      /** Set if the failure is not a fault of the engine. */
       isNotEngineFault?: boolean;
-      /** Nothing was sent: the engine wants nothing now. */
+      /** Nothing was sent, because the engine accepts no requests for now. */
       isUnavailable?: boolean;
     };
 
 /**
- * After a pause of this process callers' closes lie unread in the sockets,
- * and timers are behind. One turn of the event loop takes them in, so that
- * nothing is sent for callers that have left.
+ * After this process was paused, sockets hold unread closes of callers and
+ * timers are late. One turn of the event loop handles both, so that nothing is
+ * sent on behalf of callers that have disconnected.
  */
-const settledSockets = (): Promise<void> =>
+const nextEventLoopTurn = (): Promise<void> =>
   new Promise((resolve) => setImmediate(resolve));
 
 const unavailable = (why: string): EngineReply => ({
@@ -51,7 +51,7 @@
   UpstreamSend,
   "claim" | "replicaName"
 > {
-  /** When it was granted, with a permit of the engine. */
+  /** When the engine was granted, together with its rate permit, ms. */
   grantedAt: number;
 }
 
@@ -60,7 +60,7 @@
   ends: ReplicaEnds;
   quarantine: Pick<QuarantineKeeper, "refusal">;
   client: ReplicaClient;
-  /** For calls to addresses whose replica is not known any more. */
+  /** For calls to addresses whose replica is no longer known. */
   upstream: UpstreamClient;
   form: RequestForm;
   log: Log;
@@ -70,14 +70,14 @@
 export class EngineCalls {
   constructor(private readonly options: EngineCallsOptions) {}
 
-  /** Address of an engine; undefined if it is not known (any more). */
+  /** Address of an engine; undefined if the engine is not known. */
   addressOf(id: string | undefined): string | undefined {
     return id === undefined
       ? undefined
       : this.options.replicas.get(id)?.address;
   }
 
-  /** Sends one phase of a request; resolves with the head of the answer. */
+  /** Sends one phase of a request; resolves with the response head. */
   async send(
     caller: CallerRequest,
     id: string,
@@ -87,18 +87,22 @@
     const { replicas, client, form } = this.options;
     const replica = replicas.get(id);
     if (replica === undefined) {
-      const why = "the replica is gone";
+      const why = "replica is no longer listed";
       return { kind: "failed", verdict: "not-run", why };
     }
-    await settledSockets();
+    await nextEventLoopTurn();
     const refusal = client.refusal(replica);
     if (refusal !== undefined) return unavailable(refusal);
     if (caller.leftMs() <= 0 || cancellation.isCancelled) {
-      return { kind: "failed", verdict: "not-run", why: "its time is over" };
+      return {
+        kind: "failed",
+        verdict: "not-run",
+        why: "request cancelled or past its deadline",
+      };
     }
-    const barred = this.options.quarantine.refusal(caller);
-    if (barred !== undefined) {
-      const why = barred.message;
+    const quarantineRefusal = this.options.quarantine.refusal(caller);
+    if (quarantineRefusal !== undefined) {
+      const why = quarantineRefusal.message;
       return {
         kind: "failed",
         verdict: "not-run",
@@ -109,7 +113,7 @@
     const { head, body, claim } = caller;
     const { address, name: replicaName } = replica;
     const { grantedAt, ...phase } = send;
-    const whole = { ...phase, claim, replicaName };
+    const fullSend = { ...phase, claim, replicaName };
     caller.sentTo.push(id);
     const outcome = await client.send(replica, {
       purpose: "work",
@@ -117,7 +121,7 @@
       permitAt: grantedAt,
       method: head.method,
       target: head.target,
-      headers: form.upstreamHeaders(head, whole, body.length),
+      headers: form.upstreamHeaders(head, fullSend, body.length),
       body,
       cancellation,
     });
@@ -131,16 +135,16 @@
     return outcome.kind === "failed" ? outcome : { ...outcome, address };
   }
 
-  /** An engine answers nothing at all while it has a request. */
+  /** Reports an engine that stopped responding while it has a request. */
   reportSilent(caller: CallerRequest, engine: string): void {
     this.options.ends.onSilent(caller, engine);
   }
 
-  /** Tells the replica that nobody will take the handle. */
+  /** Tells the replica that its KV handle will not be used. */
   releaseHandle(service: string, handle: KvHandle): void {
     const { upstream, form, log, now } = this.options;
     const begun = now();
-    const cancellation = new BoundedCancellation(undefined, FREE_MS);
+    const cancellation = new BoundedCancellation(undefined, RELEASE_TIMEOUT_MS);
     void upstream
       .send({
         service,
@@ -156,9 +160,11 @@
         if (outcome.kind === "reply") outcome.res.resume();
         else {
           const tookMs = Math.round(now() - begun);
-          log.debug("handle not freed", { why: outcome.why, tookMs });
+          log.debug("KV handle release failed", { why: outcome.why, tookMs });
         }
       })
-      .catch((err) => log.debug("handle not freed", { why: errText(err) }));
+      .catch((err) =>
+        log.debug("KV handle release failed", { why: errText(err) }),
+      );
   }
 }
--- a/src/gateway/engineFailureReporter.ts
+++ b/src/gateway/engineFailureReporter.ts
@@ -1,4 +1,4 @@
-/** Tells the scheduler and the log what was found out of an engine. */
+/** Reports failed sends and unusable engines to the scheduler and the log. */
 import type { Placement } from "../placement/index.js";
 import type { Log } from "../telemetry/index.js";
 import type { CallerRequest } from "./callerRequest.js";
@@ -15,11 +15,11 @@
 export class EngineFailureReporter {
   constructor(private readonly options: EngineFailureReporterOptions) {}
 
-  /** The engine says nothing at all: nobody else should wait for it. */
-  onSilentRead(journey: RequestProgress, engine: string): RoundResult {
-    const { caller, grantId } = journey;
-    this.reportSilent(journey, engine);
-    const why = "the engine says nothing";
+  /** The engine does not respond: no other request should be placed on it. */
+  onSilentRead(progress: RequestProgress, engine: string): RoundResult {
+    const { caller, grantId } = progress;
+    this.reportSilent(progress, engine);
+    const why = "engine did not respond";
     this.logSendFailure(caller, engine, "read", why);
     const ended = { kind: "read" as const, id: grantId, ok: false };
     this.options.placement.note(caller.service, ended);
@@ -27,20 +27,23 @@
   }
 
   reportSilent({ caller, grantId }: RequestProgress, engine: string): void {
-    const news = { kind: "silent" as const, id: grantId, engine };
-    this.options.placement.note(caller.service, news);
+    const event = { kind: "silent" as const, id: grantId, engine };
+    this.options.placement.note(caller.service, event);
   }
 
-  /** The engine wants no work now: it is not at fault, and holds no part. */
+  /**
+   * The engine accepts no work for now: this is not a fault, and it has cached
+   * no part of the prompt.
+   */
   onRejected(
-    journey: RequestProgress,
+    progress: RequestProgress,
     engine: string,
     phase: string,
     why: string,
   ): RoundResult {
-    const { caller, grantId } = journey;
-    const news = { kind: "rejected" as const, id: grantId };
-    this.options.placement.note(caller.service, news);
+    const { caller, grantId } = progress;
+    const event = { kind: "rejected" as const, id: grantId };
+    this.options.placement.note(caller.service, event);
     this.logSendFailure(caller, engine, phase, why);
     return {
       kind: "failed",
@@ -51,13 +54,16 @@
     };
   }
 
-  /** The engine has changed its stage, or is gone: news, and no failure. */
-  onWrongStage(journey: RequestProgress, engine: string): RoundResult {
-    const { caller, grantId } = journey;
-    const news = { kind: "wrong-stage" as const, id: grantId, engine };
-    this.options.placement.note(caller.service, news);
+  /**
+   * The engine has changed stage or is gone: the scheduler is told, but it does
+   * not count as a fault.
+   */
+  onWrongStage(progress: RequestProgress, engine: string): RoundResult {
+    const { caller, grantId } = progress;
+    const event = { kind: "wrong-stage" as const, id: grantId, engine };
+    this.options.placement.note(caller.service, event);
     this.options.replicas.deny(engine, this.options.now());
-    const why = "the engine does something else now";
+    const why = "engine has changed stage or is gone";
     this.logSendFailure(caller, engine, "place", why);
     return {
       kind: "failed",
--- a/src/gateway/engineRun.ts
+++ b/src/gateway/engineRun.ts
@@ -1,4 +1,4 @@
-/** One run of a request at an engine, up to the end of its stream. */
+/** Runs a request on an engine and relays the event stream to its end. */
 import type { Grant } from "../scheduling/index.js";
 import type { EngineCalls, EngineCallsOptions } from "./engineCalls.js";
 import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
@@ -12,101 +12,104 @@
 import { replyFault } from "./verdicts.js";
 
 /**
- * An engine that has not begun to answer a run by then is looked at, ms. What
- * is sent to one that stands still reaches it when it goes on, long after its
- * callers have left, so that it must be noticed within a few sends.
+ * An engine that has not started its response by then is probed, ms. Requests
+ * sent to a stalled engine reach it when it resumes, long after their callers
+ * have left, so a stall must be detected within a few sends.
  */
 const RUN_SLACK_MS = 200;
+
 export class EngineRun {
   constructor(
     private readonly calls: EngineCalls,
     private readonly watch: EngineWatch,
-    private readonly news: EngineFailureReporter,
+    private readonly failures: EngineFailureReporter,
     private readonly options: EngineCallsOptions,
   ) {}
 
-  /** `handle`: of its prompt, where another engine has read it. */
+  /** `handle`: set where another engine has prefilled the prompt. */
   async run(
-    journey: RequestProgress,
+    progress: RequestProgress,
     grant: Grant,
     handle: KvHandle | undefined,
   ): Promise<RoundResult> {
     const { form, now } = this.options;
     const { runner } = grant;
-    const readsItself = grant.reader === undefined;
-    const { caller, relay } = journey;
-    journey.runSentAt = now();
-    journey.firstEventMs = 0;
-    journey.readsAtRunner = readsItself;
-    const onNotWorking = (mood: EngineActivity): void => {
-      if (mood !== "silent") return;
-      this.news.reportSilent(journey, runner);
+    const runnerPrefills = grant.reader === undefined;
+    const { caller, relay } = progress;
+    progress.runSentAt = now();
+    progress.firstEventMs = 0;
+    progress.runnerPrefills = runnerPrefills;
+    const onNotWorking = (activity: EngineActivity): void => {
+      if (activity !== "silent") return;
+      this.failures.reportSilent(progress, runner);
       this.calls.reportSilent(caller, runner);
     };
     const watch = this.watch.start(
       caller.service,
       runner,
-      RUN_SLACK_MS + (readsItself ? grant.readMs : 0),
+      RUN_SLACK_MS + (runnerPrefills ? grant.readMs : 0),
       onNotWorking,
     );
     const sent = await this.calls.send(caller, runner, caller.cancellation, {
       deadlineMs: Math.round(caller.leftMs()),
       phase: "run",
-      grantedAt: journey.grantedAt,
+      grantedAt: progress.grantedAt,
       handle,
-      cacheSource: readsItself ? this.calls.addressOf(grant.donor) : undefined,
+      cacheSource: runnerPrefills
+        ? this.calls.addressOf(grant.donor)
+        : undefined,
       afterEventId: relay.lastEventId,
     });
     watch.cancel();
     if (sent.kind === "failed") {
-      if (sent.verdict !== "not-run") journey.runs += 1;
+      if (sent.verdict !== "not-run") progress.runs += 1;
       if (caller.cancellation.isCancelled)
-        return overdueResult(journey, sent.verdict);
+        return overdueResult(progress, sent.verdict);
       if (sent.isUnavailable === true)
-        return this.news.onRejected(journey, runner, "run", sent.why);
-      this.news.logSendFailure(caller, runner, "run", sent.why);
+        return this.failures.onRejected(progress, runner, "run", sent.why);
+      this.failures.logSendFailure(caller, runner, "run", sent.why);
       return { ...sent, avoid: runner };
     }
     const { res } = sent;
     const reply = form.readReply(res.statusCode ?? 0, res.headers);
     if (reply.isMisdirected) {
       res.resume();
-      return this.news.onWrongStage(journey, runner);
+      return this.failures.onWrongStage(progress, runner);
     }
     if (reply.isNotRun) {
       res.resume();
-      const why = `engine refused with ${reply.status}`;
+      const why = `engine refused the request with status ${reply.status}`;
       if (this.options.replicas.signals.isUnavailable(runner, now()))
-        return this.news.onRejected(journey, runner, "run", why);
-      this.news.logSendFailure(caller, runner, "run", why);
+        return this.failures.onRejected(progress, runner, "run", why);
+      this.failures.logSendFailure(caller, runner, "run", why);
       return { kind: "failed", verdict: "not-run", why, avoid: runner };
     }
-    journey.runs += 1;
+    progress.runs += 1;
     const fault = replyFault(reply, caller.head.id);
     if (fault !== undefined) {
       res.destroy();
-      this.news.logSendFailure(caller, runner, "run", fault);
+      this.failures.logSendFailure(caller, runner, "run", fault);
       const verdict = "may-have-run";
       return { kind: "failed", verdict, why: fault, avoid: runner };
     }
     const isGood = reply.status >= 200 && reply.status < 300;
-    if (!isGood) return this.answerFailure(journey, sent, runner);
+    if (!isGood) return this.answerFailure(progress, sent, runner);
     const headers = form.answerHeaders(res.rawHeaders);
     caller.beginStream(reply.status, headers);
     const end = await relay.run(sent);
-    const figures = { ...relay.stats() };
+    const stats = { ...relay.stats() };
     switch (end.kind) {
       case "complete":
-        caller.endStream("streamed", figures);
+        caller.endStream("streamed", stats);
         caller.res.end();
         return { kind: "done" };
       case "caller-gone":
-        caller.endStream("caller_gone", figures);
+        caller.endStream("caller_gone", stats);
         return { kind: "done" };
       case "cut":
         if (caller.cancellation.isCancelled)
-          return overdueResult(journey, "may-have-run");
-        this.news.logSendFailure(caller, runner, "run", end.why);
+          return overdueResult(progress, "may-have-run");
+        this.failures.logSendFailure(caller, runner, "run", end.why);
         return {
           kind: "failed",
           verdict: "may-have-run",
@@ -116,19 +119,22 @@
     }
   }
 
-  /** A replica's own failure is passed on, unless a stream has begun. */
+  /**
+   * Passes the engine's error response on to the caller, unless a stream has
+   * begun or another round is possible.
+   */
   private async answerFailure(
-    journey: RequestProgress,
+    progress: RequestProgress,
     sent: UpstreamReply,
     runner: string,
   ): Promise<RoundResult> {
-    const { caller } = journey;
+    const { caller } = progress;
     const { res } = sent;
     const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
     const status = res.statusCode ?? 0;
-    const why = `engine failed with ${status}`;
+    const why = `engine failed with status ${status}`;
     const isFinal = whole.kind === "whole" && !caller.hasBegun;
-    if (isFinal && !canRetry({ ...journey, verdict: "may-have-run" })) {
+    if (isFinal && !canRetry({ ...progress, verdict: "may-have-run" })) {
       const headers = this.options.form.answerHeaders(res.rawHeaders);
       caller.answerWhole(status, headers, whole.body);
       return { kind: "done" };
--- a/src/gateway/engineWatch.ts
+++ b/src/gateway/engineWatch.ts
@@ -1,7 +1,7 @@
 /**
- * Asks an engine for its state when its answer to a request is overdue. An
- * engine that works is left alone, however slow; one that says nothing, or
- * has nothing to do, will not answer.
+ * Probes an engine's state when its response to a request is overdue. A working
+ * engine is left alone, however slow; one that does not respond, or that has no
+ * requests, will never send the response.
  */
 import { BoundedCancellation, Cancellation } from "../shared/cancellation.js";
 import { errText } from "../shared/utils.js";
@@ -10,45 +10,51 @@
 import type { EngineCallsOptions } from "./engineCalls.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An engine that does not say what it does by then is silent, ms. */
-const REPORT_MS = 250;
+/** An engine that does not answer the probe by then counts as silent, ms. */
+const PROBE_TIMEOUT_MS = 250;
 
-/** What an engine turned out to do. */
+/**
+ * Result of a probe. `idle`: it has no requests or has restarted; `silent`: it
+ * did not respond.
+ */
 export type EngineActivity = "working" | "idle" | "silent";
 
 export class EngineWatch {
   constructor(private readonly options: EngineCallsOptions) {}
 
-  /** Looks each `pauseMs` until cancelled, or until it does not work. */
+  /** Probes every `intervalMs` until cancelled or the engine is not working. */
   start(
     service: string,
     engine: string,
-    pauseMs: number,
-    onNotWorking: (mood: EngineActivity) => void,
+    intervalMs: number,
+    onNotWorking: (activity: EngineActivity) => void,
   ): Cancellation {
-    const over = new Cancellation();
-    const look = async (): Promise<void> => {
-      const mood = await this.moodOf(service, engine);
-      if (over.isCancelled) return;
-      if (mood !== "working") return onNotWorking(mood);
-      timer = setTimeout(onTime, pauseMs);
+    const stopped = new Cancellation();
+    const probe = async (): Promise<void> => {
+      const activity = await this.activityOf(service, engine);
+      if (stopped.isCancelled) return;
+      if (activity !== "working") return onNotWorking(activity);
+      timer = setTimeout(onTimer, intervalMs);
     };
-    const onTime = (): void => {
-      look().catch((err) => {
+    const onTimer = (): void => {
+      probe().catch((err) => {
         const fields = { engine, why: errText(err) };
-        this.options.log.warn("engine not looked at", fields);
+        this.options.log.warn("engine probe failed", fields);
       });
     };
-    let timer = setTimeout(onTime, pauseMs);
-    over.onCancel(() => clearTimeout(timer));
-    return over;
+    let timer = setTimeout(onTimer, intervalMs);
+    stopped.onCancel(() => clearTimeout(timer));
+    return stopped;
   }
 
-  private async moodOf(service: string, id: string): Promise<EngineActivity> {
+  private async activityOf(
+    service: string,
+    id: string,
+  ): Promise<EngineActivity> {
     const { replicas, client, form } = this.options;
     const replica = replicas.get(id);
     if (replica === undefined) return "idle";
-    const cancellation = new BoundedCancellation(undefined, REPORT_MS);
+    const cancellation = new BoundedCancellation(undefined, PROBE_TIMEOUT_MS);
     try {
       const call = form.reportCall(replica);
       const purpose = "question";
@@ -62,7 +68,7 @@
       if (whole.kind === "cut") return "silent";
       const report = form.readReport(whole.body.toString("utf8"));
       const { running, waiting } = report;
-      // What started again has lost what the one before worked on.
+      // An engine that restarted has lost the requests of its previous run.
       if (isOtherLife(replica, report)) return "idle";
       return running + waiting > 0 ? "working" : "idle";
     } finally {
--- a/src/gateway/promptReader.ts
+++ b/src/gateway/promptReader.ts
@@ -1,6 +1,6 @@
 /**
- * Has an engine read the prompt of a request for another engine, and judges
- * whether a read that takes long is still worth the wait.
+ * Has one engine prefill the prompt of a request for another engine, and stops
+ * waiting when that engine is found not to be working.
  */
 import { BoundedCancellation } from "../shared/cancellation.js";
 import type { Cancellation } from "../shared/cancellation.js";
@@ -11,26 +11,27 @@
 import type { KvHandle } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An engine is looked at after this many times the expected time, … */
-const READ_PATIENCE = 2;
-/** … and this many ms on top, for the hops and the estimate's error. */
+/** An engine is first probed after this many times the expected time, … */
+const READ_PROBE_FACTOR = 2;
+/** … plus this, for network hops and the error of the estimate, ms. */
 const READ_SLACK_MS = 250;
+
 export type ReadOutcome =
   | { kind: "read"; handle: KvHandle }
   | { kind: "wrong-stage" }
-  /** The engine wants no work now. */
+  /** The engine accepts no work for now. */
   | { kind: "unavailable"; why: string }
-  /** The engine does not answer at all. */
+  /** The engine does not respond to probes. */
   | { kind: "silent" }
   | { kind: "failed"; why: string };
 
-/** What to read, and where. */
+/** Where a prompt is to be prefilled, and with what expectations. */
 export interface ReadRequest {
   reader: string;
-  /** Expected time until it is read, ms. */
+  /** Expected time to the end of the prefill, ms. */
   expectedMs: number;
   grantedAt: number;
-  /** Address of an engine whose cached parts are taken first. */
+  /** Address of an engine to fetch cached prompt parts from first. */
   cacheSource: string | undefined;
 }
 
@@ -42,26 +43,29 @@
   ) {}
 
   /**
-   * Ends also when the engine is lost, or has lost the read. One that is
-   * merely slow is waited for: cutting it throws away what was read.
+   * Resolves early if the engine is lost or has lost the request. A slow
+   * engine is waited for, because cancelling discards its finished work.
    */
-  async read(caller: CallerRequest, order: ReadRequest): Promise<ReadOutcome> {
-    const { reader, expectedMs } = order;
+  async read(
+    caller: CallerRequest,
+    request: ReadRequest,
+  ): Promise<ReadOutcome> {
+    const { reader, expectedMs } = request;
     const stop = new BoundedCancellation(caller.cancellation, undefined);
-    const pauseMs = expectedMs * READ_PATIENCE + READ_SLACK_MS;
+    const intervalMs = expectedMs * READ_PROBE_FACTOR + READ_SLACK_MS;
     let isSilent = false;
-    const onNotWorking = (mood: EngineActivity): void => {
-      isSilent = mood === "silent";
+    const onNotWorking = (activity: EngineActivity): void => {
+      isSilent = activity === "silent";
       stop.cancel();
     };
     const watch = this.watch.start(
       caller.service,
       reader,
-      pauseMs,
+      intervalMs,
       onNotWorking,
     );
     try {
-      const outcome = await this.exchange(caller, order, stop);
+      const outcome = await this.sendRead(caller, request, stop);
       return isSilent ? { kind: "silent" } : outcome;
     } finally {
       watch.cancel();
@@ -69,7 +73,7 @@
     }
   }
 
-  private async exchange(
+  private async sendRead(
     caller: CallerRequest,
     { reader, cacheSource, grantedAt }: ReadRequest,
     stop: Cancellation,
@@ -90,18 +94,18 @@
     const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
     if (reply.isMisdirected) return { kind: "wrong-stage" };
     if (reply.isNotRun || reply.status !== 200) {
-      const why = `read refused with ${reply.status}`;
+      const why = `prefill refused with status ${reply.status}`;
       const { replicas, now } = this.options;
       const isUnavailable =
         reply.isNotRun && replicas.signals.isUnavailable(reader, now());
       return { kind: isUnavailable ? "unavailable" : "failed", why };
     }
     if (reply.requestId !== undefined && reply.requestId !== caller.head.id) {
-      return { kind: "failed", why: "the answer belongs to another request" };
+      return { kind: "failed", why: "response belongs to another request" };
     }
     if (whole.kind === "cut") return { kind: "failed", why: whole.why };
     const handle = form.readHandle(address, whole.body.toString("utf8"));
     if (handle !== undefined) return { kind: "read", handle };
-    return { kind: "failed", why: "the answer names no handle" };
+    return { kind: "failed", why: "response contains no KV handle" };
   }
 }
--- a/src/gateway/requestProgress.ts
+++ b/src/gateway/requestProgress.ts
@@ -1,4 +1,4 @@
-/** What one request to model engines carries from round to round. */
+/** State of one request to model engines over all its placement rounds. */
 import type { PlacementAsk } from "../scheduling/index.js";
 import type { RequestFailure } from "../shared/errors.js";
 import type { Verdict } from "../shared/verdict.js";
@@ -7,12 +7,12 @@
 import { StreamRelay } from "./streamRelay.js";
 import { overdueFailure } from "./verdicts.js";
 
-/** Rounds of placement of one request at the most. */
+/** Maximum placement rounds of one request. */
 const MAX_ROUNDS = 4;
-/** Less time than this is not worth another round, ms. */
-const LEAST_LEFT_MS = 30;
+/** No further round is started with less time left than this, ms. */
+const MIN_TIME_LEFT_MS = 30;
 
-/** What one round of placement, read and run came to. */
+/** Result of one round: placement, prefill and run. */
 export type RoundResult =
   | { kind: "done" }
   | { kind: "refused"; failure: RequestFailure }
@@ -20,29 +20,29 @@
       kind: "failed";
       verdict: Verdict;
       why: string;
-      /** Engine to leave out in the next round. */
+      /** Engine to exclude from the next round. */
       avoid: string;
-      /** The engine is not to blame. */
+      /** Set if the failure is not a fault of the engine. */
       isNotEngineFault?: boolean;
     };
 
-/** What a request carries from round to round. */
+/** State of a request that is kept from round to round. */
 export interface RequestProgress {
   caller: CallerRequest;
   relay: StreamRelay;
   avoid: string[];
   verdict: Verdict;
   rounds: number;
-  /** Replicas that ran it, or may have. */
+  /** Number of replicas that ran the request or may have. */
   runs: number;
   grantId: string;
-  /** When the engines of the round were granted. */
+  /** When the current round's engines were granted, ms. */
   grantedAt: number;
   runSentAt: number;
-  /** From the send to the first event of the round, ms; 0: none yet. */
+  /** Time from the send to the round's first event, ms; 0: no event yet. */
   firstEventMs: number;
-  /** The runner reads the prompt itself. */
-  readsAtRunner: boolean;
+  /** Whether the engine that runs the request also prefills its prompt. */
+  runnerPrefills: boolean;
 }
 
 export const newRequestProgress = (
@@ -60,44 +60,44 @@
   grantedAt: 0,
   runSentAt: 0,
   firstEventMs: 0,
-  readsAtRunner: false,
+  runnerPrefills: false,
 });
 
-/** Whether another round is allowed, and worth it. */
-export const canRetry = (journey: RequestProgress): boolean => {
-  const { caller, verdict, rounds, runs } = journey;
+/** Whether another round is allowed and enough time is left for it. */
+export const canRetry = (progress: RequestProgress): boolean => {
+  const { caller, verdict, rounds, runs } = progress;
   if (caller.cancellation.isCancelled || rounds >= MAX_ROUNDS) return false;
-  if (caller.leftMs() < LEAST_LEFT_MS) return false;
+  if (caller.leftMs() < MIN_TIME_LEFT_MS) return false;
   if (caller.isTrial && caller.sentTo.length > 0) return false;
   if (verdict === "not-run") return true;
   return caller.route.isResumable && runs < caller.route.maxAttempts;
 };
 
-/** The round that ends a request whose time is over. */
+/** Result that ends a request whose deadline has passed. */
 export const overdueResult = (
-  journey: RequestProgress,
+  progress: RequestProgress,
   verdict: Verdict = "not-run",
 ): RoundResult => {
-  const worse = worseVerdict(journey.verdict, verdict);
+  const worse = worseVerdict(progress.verdict, verdict);
   return { kind: "refused", failure: overdueFailure(worse) };
 };
 
 /**
- * What the scheduler has to know of it. `domain`: of this process; `unavailable`:
- * engines that want nothing from it for now.
+ * Builds the ask for the scheduler. `domain`: failure domain of this process;
+ * `unavailable`: engines that this process must not send to for now.
  */
 export const toPlacementAsk = (
-  journey: RequestProgress,
+  progress: RequestProgress,
   domain: string,
   unavailable: string[],
 ): PlacementAsk => {
-  const { caller, avoid, grantId } = journey;
+  const { caller, avoid, grantId } = progress;
   const { prompt } = caller.head;
   const elapsedMs = caller.elapsedMs();
   const objectiveMs = caller.hasBegun
     ? caller.leftMs()
     : caller.route.objectiveMs - elapsedMs;
-  const silenceMs = caller.hasBegun
+  const maxGapLeftMs = caller.hasBegun
     ? caller.leftMs()
     : caller.route.maxEventGapMs - elapsedMs;
   return {
@@ -111,7 +111,7 @@
     mostOutputTokens: prompt?.mostOutputTokens ?? 0,
     parts: prompt?.parts ?? [],
     objectiveLeftMs: Math.min(objectiveMs, caller.leftMs()),
-    deadlineLeftMs: Math.min(silenceMs, caller.leftMs()),
+    deadlineLeftMs: Math.min(maxGapLeftMs, caller.leftMs()),
     answerLeftMs: caller.leftMs(),
     priority: caller.priority,
     isReturn: caller.isReturn,
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -1,7 +1,7 @@
 /**
- * Requests to model engines: placed by the scheduler, the prompt read by one
- * engine where that pays, the answer streamed from another, and a cut stream
- * resumed where its route allows it.
+ * Handles requests to model engines: the scheduler places them, one engine
+ * prefills the prompt where that pays, another streams the response, and an
+ * interrupted stream is resumed where the route allows it.
  */
 import type {
   Grant,
@@ -38,7 +38,7 @@
   rng: Rng;
 }
 
-const endedUnused = (id: string): PlacementEvent => ({
+const unusedGrantEnded = (id: string): PlacementEvent => ({
   kind: "ended",
   id,
   ok: true,
@@ -47,62 +47,67 @@
 
 export class StreamFlow {
   private readonly calls: EngineCalls;
-  private readonly news: EngineFailureReporter;
+  private readonly failures: EngineFailureReporter;
   private readonly reader: PromptReader;
   private readonly engineRun: EngineRun;
   private sequence = 0;
 
   constructor(
     private readonly options: StreamFlowOptions,
-    /** Makes grant ids unique among the entries. */
+    /** Prefix of grant ids, which makes them unique across entries. */
     private readonly entryId: string,
   ) {
     this.calls = new EngineCalls(options);
-    this.news = new EngineFailureReporter(options);
+    this.failures = new EngineFailureReporter(options);
     const watch = new EngineWatch(options);
     this.reader = new PromptReader(this.calls, watch, options);
-    this.engineRun = new EngineRun(this.calls, watch, this.news, options);
+    this.engineRun = new EngineRun(this.calls, watch, this.failures, options);
   }
 
   async run(caller: CallerRequest): Promise<void> {
     const { budgets, now } = this.options;
-    const onFirstEvent = () => this.noteBegun(journey);
-    const journey: RequestProgress = newRequestProgress(
+    const onFirstEvent = () => this.reportFirstEvent(progress);
+    const progress: RequestProgress = newRequestProgress(
       caller,
       onFirstEvent,
       now,
     );
     for (;;) {
       const sentBefore = caller.sentTo.length;
-      const round = await this.round(journey);
+      const round = await this.round(progress);
       const sends = caller.sentTo.length - sentBefore;
-      // A further round was paid for as one send, and may have been two.
+      // The retry budget was charged for one send; a round may take two.
       if (sentBefore > 0 && sends > 1)
         budgets.charge(caller.service, sends - 1);
       if (round.kind === "done") return;
-      if (round.kind === "refused") return this.giveUp(journey, round.failure);
-      journey.verdict = worseVerdict(journey.verdict, round.verdict);
-      journey.avoid.push(round.avoid);
+      if (round.kind === "refused")
+        return this.failRequest(progress, round.failure);
+      progress.verdict = worseVerdict(progress.verdict, round.verdict);
+      progress.avoid.push(round.avoid);
       if (caller.isCallerGone) return;
-      const failure = failureOf(journey.verdict, round.why);
-      if (!canRetry(journey)) return this.giveUp(journey, failure);
+      const failure = failureOf(progress.verdict, round.why);
+      if (!canRetry(progress)) return this.failRequest(progress, failure);
       if (sends > 0 && !budgets.spend(caller.service))
-        return this.giveUp(journey, failure);
+        return this.failRequest(progress, failure);
     }
   }
 
-  private async round(journey: RequestProgress): Promise<RoundResult> {
+  private async round(progress: RequestProgress): Promise<RoundResult> {
     const { placement } = this.options;
-    const { caller } = journey;
-    const barred = this.options.quarantine.refusal(caller);
-    if (barred !== undefined) return { kind: "refused", failure: barred };
-    journey.rounds += 1;
+    const { caller } = progress;
+    const quarantineRefusal = this.options.quarantine.refusal(caller);
+    if (quarantineRefusal !== undefined)
+      return { kind: "refused", failure: quarantineRefusal };
+    progress.rounds += 1;
     this.sequence += 1;
-    journey.grantId = `${this.entryId}/${this.sequence}`;
-    const answer = await this.place(journey);
-    if (answer === undefined) return overdueResult(journey);
+    progress.grantId = `${this.entryId}/${this.sequence}`;
+    const answer = await this.place(progress);
+    if (answer === undefined) return overdueResult(progress);
     if (answer.kind === "refused") {
-      const failure = failureOf(journey.verdict, `no engine: ${answer.why}`);
+      const failure = failureOf(
+        progress.verdict,
+        `no engine available: ${answer.why}`,
+      );
       const retryAfterMs = this.retryAfterMs(caller, answer);
       const isNotRun = failure.verdict === "not-run";
       return {
@@ -110,29 +115,29 @@
         failure: isNotRun ? { ...failure, retryAfterMs } : failure,
       };
     }
-    journey.grantedAt = this.options.now() - answer.ageMs;
-    this.logGrant(journey, answer);
+    progress.grantedAt = this.options.now() - answer.ageMs;
+    this.logGrant(progress, answer);
     let isGood = false;
     let isDone = false;
     try {
-      const round = await this.carryOut(journey, answer);
+      const round = await this.executeGrant(progress, answer);
       isGood = round.kind !== "failed" || round.isNotEngineFault === true;
       isDone = round.kind === "done";
       return round;
     } finally {
-      const id = journey.grantId;
+      const id = progress.grantId;
       const ok = isGood || caller.isCallerGone;
-      const { firstEventMs } = journey;
+      const { firstEventMs } = progress;
       const isCut = !isDone || caller.isCallerGone;
-      const stream = journey.relay.takeStreamResult(isCut);
+      const stream = progress.relay.takeStreamResult(isCut);
       const event = { kind: "ended" as const, id, ok, firstEventMs, stream };
       placement.note(caller.service, event);
     }
   }
 
   /**
-   * Where engines back off, none takes it before the first of them may; those
-   * who come back to limited ones are spread as well.
+   * Where engines back stopListening, retrying makes no sense before the first back-stopListening
+   * ends. Retries to rate-limited engines are spread over time as well.
    */
   private retryAfterMs({ service }: CallerRequest, answer: Refusal): number {
     const { replicas, now, rng } = this.options;
@@ -145,93 +150,97 @@
     return afterBackOffMs(Math.min(...ends) - now(), rng);
   }
 
-  /** Where it goes; undefined if it was cancelled before that was known. */
+  /** Asks for a placement; undefined if the request was cancelled first. */
   private place(
-    journey: RequestProgress,
+    progress: RequestProgress,
   ): Promise<PlacementAnswer | undefined> {
     const { placement, replicas, domain, now } = this.options;
-    const { caller, grantId } = journey;
+    const { caller, grantId } = progress;
     const { service } = caller;
     const unavailable = replicas.signals.unavailable(service, now());
     return new Promise((resolve, reject) => {
-      const off = caller.cancellation.onCancel(() => {
+      const stopListening = caller.cancellation.onCancel(() => {
         placement.withdraw(service, grantId);
         resolve(undefined);
       });
       const onAnswer = (answer: PlacementAnswer): void => {
-        off();
+        stopListening();
         resolve(answer);
         if (!caller.cancellation.isCancelled) return;
         const isGranted = answer.kind === "granted";
-        if (isGranted) placement.note(service, endedUnused(grantId));
+        if (isGranted) placement.note(service, unusedGrantEnded(grantId));
       };
       placement
-        .place(toPlacementAsk(journey, domain, unavailable))
+        .place(toPlacementAsk(progress, domain, unavailable))
         .then(onAnswer, reject);
     });
   }
 
-  private async carryOut(
-    journey: RequestProgress,
+  private async executeGrant(
+    progress: RequestProgress,
     grant: Grant,
   ): Promise<RoundResult> {
-    const { caller } = journey;
-    if (caller.cancellation.isCancelled) return overdueResult(journey);
+    const { caller } = progress;
+    if (caller.cancellation.isCancelled) return overdueResult(progress);
     let handle: KvHandle | undefined;
     if (grant.reader !== undefined) {
-      const read = await this.readPrompt(journey, grant, grant.reader);
+      const read = await this.readPrompt(progress, grant, grant.reader);
       if (read.kind !== "read") return read;
       handle = read.handle;
     }
-    const round = await this.engineRun.run(journey, grant, handle);
+    const round = await this.engineRun.run(progress, grant, handle);
     if (round.kind !== "done" && handle !== undefined)
       this.calls.releaseHandle(caller.service, handle);
     return round;
   }
 
   private async readPrompt(
-    journey: RequestProgress,
+    progress: RequestProgress,
     grant: Grant,
     reader: string,
   ): Promise<RoundResult | { kind: "read"; handle: KvHandle }> {
     const { placement } = this.options;
-    const { caller, grantId } = journey;
+    const { caller, grantId } = progress;
     const order = {
       reader,
       expectedMs: grant.readMs,
-      grantedAt: journey.grantedAt,
+      grantedAt: progress.grantedAt,
       cacheSource: this.calls.addressOf(grant.donor),
     };
     const read = await this.reader.read(caller, order);
     if (read.kind === "wrong-stage")
-      return this.news.onWrongStage(journey, reader);
-    if (read.kind === "silent") return this.news.onSilentRead(journey, reader);
+      return this.failures.onWrongStage(progress, reader);
+    if (read.kind === "silent")
+      return this.failures.onSilentRead(progress, reader);
     if (read.kind === "unavailable" && !caller.cancellation.isCancelled)
-      return this.news.onRejected(journey, reader, "read", read.why);
+      return this.failures.onRejected(progress, reader, "read", read.why);
     const ok = read.kind === "read";
     placement.note(caller.service, { kind: "read", id: grantId, ok });
     if (read.kind === "read") {
       if (!caller.cancellation.isCancelled) return read;
       this.calls.releaseHandle(caller.service, read.handle);
-      return overdueResult(journey);
+      return overdueResult(progress);
     }
-    if (caller.isOverdue) return overdueResult(journey);
-    this.news.logSendFailure(caller, reader, "read", read.why);
+    if (caller.isOverdue) return overdueResult(progress);
+    this.failures.logSendFailure(caller, reader, "read", read.why);
     return { kind: "failed", verdict: "not-run", why: read.why, avoid: reader };
   }
 
-  private noteBegun(journey: RequestProgress): void {
-    const { caller, grantId } = journey;
+  private reportFirstEvent(progress: RequestProgress): void {
+    const { caller, grantId } = progress;
     caller.noteBegun();
-    journey.firstEventMs = this.options.now() - journey.runSentAt;
-    if (!journey.readsAtRunner) return;
+    progress.firstEventMs = this.options.now() - progress.runSentAt;
+    if (!progress.runnerPrefills) return;
     const event = { kind: "begun" as const, id: grantId };
     this.options.placement.note(caller.service, event);
   }
 
-  private giveUp(journey: RequestProgress, failure: RequestFailure): void {
-    if (journey.caller.isCallerGone) return;
-    journey.caller.fail(failure);
+  private failRequest(
+    progress: RequestProgress,
+    failure: RequestFailure,
+  ): void {
+    if (progress.caller.isCallerGone) return;
+    progress.caller.fail(failure);
   }
 
   private logGrant({ caller, rounds }: RequestProgress, grant: Grant): void {
--- a/src/gateway/streamRelay.ts
+++ b/src/gateway/streamRelay.ts
@@ -1,7 +1,7 @@
 /**
- * Passes the events of one answer on to its caller, over one or more runs:
- * whole events only, each once, and an end only where the last run ended
- * well.
+ * Relays the events of one response to its caller, over one or more runs.
+ * Only whole events are sent, each once, and the response is ended only if the
+ * last run completed.
  */
 import type { IncomingMessage } from "node:http";
 
@@ -15,32 +15,32 @@
 export type RunEnd =
   { kind: "complete" } | { kind: "cut"; why: string } | { kind: "caller-gone" };
 
-/** How a stream went, for the log; times are ms. */
+/** Statistics of a stream for the log; times are ms. */
 export interface StreamStats {
-  /** Pieces that were passed on: one or more events each. */
+  /** Chunks relayed, each with one or more events. */
   events: number;
   longestPauseMs: number;
-  /** Since the last one. */
+  /** Time since the last chunk. */
   sinceLastMs: number;
-  /** How long the caller did not take what it was sent. */
+  /** Total time during which the caller's socket was not draining. */
   heldByCallerMs: number;
 }
 
 export class StreamRelay {
-  /** Id of the last event that the caller was sent. */
+  /** Id of the last event sent to the caller. */
   lastEventId: string | undefined;
   events = 0;
-  /** When the last event came from an engine, ms. */
+  /** When the last event arrived from an engine, ms. */
   private lastAt: number | undefined;
-  /** Events relayed of the current run. */
-  private runEvents = 0;
-  /** When the first of them came from the engine, ms. */
+  /** Events relayed in the current run. */
+  private runEventCount = 0;
+  /** When the first event of the current run arrived, ms. */
   private runFirstAt = 0;
   /** Longest time between two events, ms. */
   private longestPauseMs = 0;
-  /** Since when the caller has not taken what it was sent, ms. */
-  private heldSince: number | undefined;
-  private heldMs = 0;
+  /** When reading was paused because the caller's socket is full, ms. */
+  private pausedSince: number | undefined;
+  private pausedMs = 0;
 
   constructor(
     private readonly caller: CallerRequest,
@@ -48,34 +48,35 @@
     private readonly now: () => number,
   ) {}
 
-  /** What is known of the stream so far, for the log; times are ms. */
+  /** Statistics of the stream so far; times are ms. */
   stats(): StreamStats {
     const now = this.now();
-    const holdMs = this.heldSince === undefined ? 0 : now - this.heldSince;
+    const currentPauseMs =
+      this.pausedSince === undefined ? 0 : now - this.pausedSince;
     return {
       events: this.events,
       longestPauseMs: Math.round(this.longestPauseMs),
       sinceLastMs: Math.round(now - (this.lastAt ?? now)),
-      heldByCallerMs: Math.round(this.heldMs + holdMs),
+      heldByCallerMs: Math.round(this.pausedMs + currentPauseMs),
     };
   }
 
   /** Returns and resets the current run; undefined if it had no events. */
   takeStreamResult(isCut: boolean): StreamResult | undefined {
-    const { runEvents: events, runFirstAt, lastAt } = this;
-    this.runEvents = 0;
+    const { runEventCount: events, runFirstAt, lastAt } = this;
+    this.runEventCount = 0;
     if (events === 0 || lastAt === undefined) return undefined;
     return { events, tookMs: lastAt - runFirstAt, isCut };
   }
 
-  /** Passes one run on; resolves when it has ended in any way. */
+  /** Relays one run; resolves when it has ended, however it ended. */
   run({ res: reply, isWhole }: UpstreamReply): Promise<RunEnd> {
     return new Promise((resolve) => {
       const splitter = new EventSplitter();
-      let end: RunEnd = { kind: "cut", why: "the answer was cut" };
+      let end: RunEnd = { kind: "cut", why: "response was cut off" };
       reply.on("data", (chunk: Buffer) => {
         const whole = splitter.push(chunk);
-        if (whole.bytes.length > 0) this.pass(reply, whole);
+        if (whole.bytes.length > 0) this.forward(reply, whole);
       });
       reply.on("error", (err) => {
         end = { kind: "cut", why: err.message };
@@ -90,34 +91,34 @@
     });
   }
 
-  private pass(
+  private forward(
     reply: IncomingMessage,
     { bytes, count, lastId }: WholeEvents,
   ): void {
     const { res } = this.caller;
     if (this.events === 0) this.onFirstEvent();
     this.events += 1;
-    this.measurePause();
-    if (this.runEvents === 0) this.runFirstAt = this.lastAt ?? 0;
-    this.runEvents += count;
+    this.measureGap();
+    if (this.runEventCount === 0) this.runFirstAt = this.lastAt ?? 0;
+    this.runEventCount += count;
     this.lastEventId = lastId ?? this.lastEventId;
     if (res.destroyed || res.write(bytes)) return;
-    this.hold(reply);
+    this.pauseUntilDrain(reply);
   }
 
-  /** Takes nothing more from the engine until the caller has caught up. */
-  private hold(reply: IncomingMessage): void {
+  /** Applies backpressure: reads no more until the caller's socket drains. */
+  private pauseUntilDrain(reply: IncomingMessage): void {
     const since = this.now();
-    this.heldSince = since;
+    this.pausedSince = since;
     reply.pause();
     this.caller.res.once("drain", () => {
-      this.heldMs += this.now() - since;
-      this.heldSince = undefined;
+      this.pausedMs += this.now() - since;
+      this.pausedSince = undefined;
       reply.resume();
     });
   }
 
-  private measurePause(): void {
+  private measureGap(): void {
     const now = this.now();
     const pauseMs = now - (this.lastAt ?? now);
     this.longestPauseMs = Math.max(this.longestPauseMs, pauseMs);
