--- a/src/gateway/cacheListLoader.ts
+++ b/src/gateway/cacheListLoader.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the engines of a service what their caches hold when this process
- * becomes its holder. A new holder that knows nothing spreads prompts over
- * engines that have to read all of their shared parts again.
+ * Loads the cache contents of a service's engines when this process takes the
+ * service's lease. A new holder without them would spread prompts over engines
+ * that then have to prefill all of the shared parts again.
  */
 import type { LocalPlacement } from "../placement/index.js";
 import { BoundedCancellation } from "../shared/cancellation.js";
@@ -13,9 +13,9 @@
 import type { Replica } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An engine that has not answered by then is left out, ms. */
-const LIST_MS = 1000;
-/** Some ten thousand parts of a prompt, at 50 bytes each. */
+/** An engine that has not responded by then is left out, ms. */
+const LIST_TIMEOUT_MS = 1000;
+/** Room for about ten thousand prompt parts of 50 bytes each. */
 const MAX_LIST_BYTES = 512 * 1024;
 
 export interface CacheListLoaderOptions {
@@ -28,20 +28,20 @@
 }
 
 export class CacheListLoader {
-  /** Epochs of the leases for which engines were asked, by service. */
-  private readonly asked = new Map<string, number>();
+  /** Lease epoch for which the lists were last loaded, by service. */
+  private readonly loadedEpochs = new Map<string, number>();
 
   constructor(private readonly options: CacheListLoaderOptions) {}
 
-  /** Asks all engines at once, once for each time that the lease is taken. */
+  /** Queries all engines in parallel, once per acquisition of the lease. */
   async step(service: string, epoch: number): Promise<void> {
-    if (this.asked.get(service) === epoch) return;
-    this.asked.set(service, epoch);
+    if (this.loadedEpochs.get(service) === epoch) return;
+    this.loadedEpochs.set(service, epoch);
     const { replicas, log, now } = this.options;
     const begun = now();
     const engines = replicas.usable(service, begun);
     const counts = await Promise.all(
-      engines.map((engine) => this.learn(engine)),
+      engines.map((engine) => this.loadList(engine)),
     );
     const parts = counts.reduce((sum, count) => sum + count, 0);
     const tookMs = Math.round(now() - begun);
@@ -49,24 +49,24 @@
     log.info("caches asked", fields);
   }
 
-  /** How many parts the engine told of. */
-  private async learn(engine: Replica): Promise<number> {
+  /** Loads one engine's list; returns the number of parts, 0 on failure. */
+  private async loadList(engine: Replica): Promise<number> {
     const { client, form, local, log } = this.options;
     const { id, service } = engine;
-    const cancellation = new BoundedCancellation(undefined, LIST_MS);
+    const cancellation = new BoundedCancellation(undefined, LIST_TIMEOUT_MS);
     try {
       const call = form.cacheListCall(engine);
       const purpose = "question";
-      const order = { ...call, purpose, cancellation } as const;
-      const sent = await client.send(engine, order);
+      const request = { ...call, purpose, cancellation } as const;
+      const sent = await client.send(engine, request);
       if (sent.kind === "failed") return 0;
       const whole = await readWholeBody(sent, MAX_LIST_BYTES);
       if (whole.kind === "cut" || sent.res.statusCode !== 200) return 0;
-      const held = form.readCacheList(whole.body.toString("utf8"));
-      local.learnCache(service, id, held);
-      return held.length;
+      const parts = form.readCacheList(whole.body.toString("utf8"));
+      local.learnCache(service, id, parts);
+      return parts.length;
     } catch (err) {
-      log.warn("cache not learnt", { replica: id, why: errText(err) });
+      log.warn("engine cache list failed", { replica: id, why: errText(err) });
       return 0;
     } finally {
       cancellation.dispose();
--- a/src/gateway/configProofRequester.ts
+++ b/src/gateway/configProofRequester.ts
@@ -1,8 +1,8 @@
 /**
- * Seeks proof that the configuration is the newest where the store gives
- * none: the holder of a lease is asked, which reaches the store. Without it
- * a process that the store turns away, or whose link to it is cut, would
- * refuse all keyed requests though a way to the store exists.
+ * Obtains proof that the configuration is the newest when the store gives none,
+ * by asking the holder of a lease, which reaches the store. Otherwise a process
+ * that the store rejects, or that has lost its connection to it, would refuse
+ * all keyed requests although the store can be reached through the holder.
  */
 import type { SharedPlacement } from "../placement/index.js";
 import type { Supervisor } from "../tasks/index.js";
@@ -11,13 +11,13 @@
 import type { GatewayState } from "./gatewayState.js";
 
 /**
- * Part of the age at which keyed requests are refused after which the holder
- * is asked: it leaves time for four questions, and the process's own watch
- * has failed by then.
+ * The holder is asked at this fraction of the age at which keyed requests are
+ * refused. That leaves time for four attempts, and by then the process's own
+ * store watch has failed.
  */
-const ASK_PART = 0.7;
-/** Pause between two questions, ms. */
-const ASK_MS = 300;
+const ASK_AGE_FRACTION = 0.7;
+/** Interval between attempts, ms. */
+const ASK_INTERVAL_MS = 300;
 
 export class ConfigProofRequester {
   private readonly askAfterMs: number;
@@ -27,12 +27,14 @@
     private readonly placement: SharedPlacement,
     bounds: KeyBounds,
   ) {
-    this.askAfterMs = oldestProofMs(bounds) * ASK_PART;
+    this.askAfterMs = oldestProofMs(bounds) * ASK_AGE_FRACTION;
   }
 
   start(supervisor: Supervisor): void {
     if (!Number.isFinite(this.askAfterMs)) return;
-    supervisor.every("proof of keys", ASK_MS, async () => this.step());
+    supervisor.every("configuration proof", ASK_INTERVAL_MS, async () =>
+      this.step(),
+    );
   }
 
   private step(): void {
--- a/src/gateway/gatewayDependencies.ts
+++ b/src/gateway/gatewayDependencies.ts
@@ -1,4 +1,4 @@
-/** What the processes that face the platform are composed of. */
+/** Dependencies of the entry and scheduler processes that use the platform. */
 import type { Rng } from "../shared/rng.js";
 import type { ObjectFeed } from "../store/index.js";
 import type { Log, Metrics } from "../telemetry/index.js";
@@ -6,7 +6,7 @@
 import type { GatewaySource } from "./gatewayState.js";
 import type { RequestForm } from "./requestForm.js";
 
-/** Ports and helpers that a process is given besides its settings. */
+/** Ports, clocks and helpers that a process gets in addition to its settings. */
 export interface GatewayDependencies {
   form: RequestForm;
   source: GatewaySource;
@@ -15,10 +15,10 @@
   metrics: Metrics;
   rng: Rng;
   now: () => number;
-  /** Counts suspensions of the machine besides: for what others rely on, ms. */
+  /** Clock that also counts VM suspensions, for leases and proofs, ms. */
   leaseNow: () => number;
-  /** Time of day, ms since 1970; may step. */
+  /** Wall clock, ms since 1970; may jump. */
   wallNow: () => number;
-  /** Duties of the fleet; undefined where the platform asks for none. */
+  /** Port for fleet duties (usage reports); undefined if none are required. */
   duties?: DutyPort;
 }
--- a/src/gateway/leaseHolderTasks.ts
+++ b/src/gateway/leaseHolderTasks.ts
@@ -1,6 +1,6 @@
 /**
- * What a process does for a service while it holds its lease, besides
- * placing: it asks engines what their caches hold, and orders stages.
+ * Tasks of the process that holds a service's lease, besides placement: it
+ * queries the engines' cache contents and orders stage changes.
  */
 import type { LocalPlacement, SharedPlacement } from "../placement/index.js";
 import type { RateLimits } from "../rateLimits/index.js";
@@ -13,11 +13,11 @@
 import { StageController } from "./stageController.js";
 
 export interface LeaseHolderTasksOptions {
-  /** Name of the process. */
+  /** Id of the process. */
   id: string;
-  /** Time that orders of two holders must lie apart, ms. */
+  /** Minimum time between the orders of two successive holders, ms. */
   orderLeaseMs: number;
-  /** Services whose leases it keeps or seeks. */
+  /** Services whose leases this process holds or tries to acquire. */
   services(): string[];
   state: GatewayState;
   local: LocalPlacement;
@@ -30,45 +30,51 @@
 }
 
 export class LeaseHolderTasks {
-  private readonly survey: CacheListLoader;
-  private readonly keepers = new Map<string, StageController>();
+  private readonly cacheLists: CacheListLoader;
+  private readonly stageControllers = new Map<string, StageController>();
 
   constructor(private readonly options: LeaseHolderTasksOptions) {
     const { replicas } = options.state;
-    this.survey = new CacheListLoader({ ...options, replicas });
+    this.cacheLists = new CacheListLoader({ ...options, replicas });
   }
 
-  /** Steps each `periodMs`; a slow engine holds up no order of stage. */
+  /**
+   * Runs both tasks every `periodMs`. They are separate, so that an engine that
+   * is slow to list its cache does not delay stage orders.
+   */
   start(supervisor: Supervisor, periodMs: number): void {
-    supervisor.every("caches of engines", periodMs, () => this.askCaches());
-    supervisor.every("stages", periodMs, () => this.stepStages());
+    supervisor.every("engine cache lists", periodMs, () =>
+      this.loadCacheLists(),
+    );
+    supervisor.every("stage changes", periodMs, () => this.stepStages());
   }
 
-  private held(): string[] {
+  private heldServices(): string[] {
     const { services, placement } = this.options;
     return services().filter((name) => placement.isHolder(name));
   }
 
-  private async askCaches(): Promise<void> {
+  private async loadCacheLists(): Promise<void> {
     const { state, placement } = this.options;
     if (!state.isReady) return;
-    for (const service of this.held()) {
-      await this.survey.step(service, placement.epoch(service));
+    for (const service of this.heldServices()) {
+      await this.cacheLists.step(service, placement.epoch(service));
     }
   }
 
   private async stepStages(): Promise<void> {
-    for (const service of this.held()) {
-      const keeper = this.keepers.get(service) ?? this.newKeeper(service);
-      this.keepers.set(service, keeper);
-      // Asks bring the list as well; while there are none, the planner would
-      // go by the stages of before its own orders, and order on and on.
+    for (const service of this.heldServices()) {
+      const controller =
+        this.stageControllers.get(service) ?? this.newStageController(service);
+      this.stageControllers.set(service, controller);
+      // Placement asks refresh the engine list too. When there are none, the
+      // planner would see the stages from before its own orders and repeat them.
       this.options.local.refresh(service);
-      await keeper.step();
+      await controller.step();
     }
   }
 
-  private newKeeper(service: string): StageController {
+  private newStageController(service: string): StageController {
     const { id, orderLeaseMs, state, local, placement, ...rest } = this.options;
     const { client, rates, form, log, now } = rest;
     return new StageController({
--- a/src/gateway/placementRole.ts
+++ b/src/gateway/placementRole.ts
@@ -1,7 +1,7 @@
 /**
- * What a process needs to place requests together with others: the lease,
- * the schedulers, the server for others, and orders of stage while it holds
- * the lease.
+ * What a process needs to place requests together with other processes: the
+ * leases, the schedulers, the server for its peers, and stage orders while it
+ * holds a lease.
  */
 import {
   LocalPlacement,
@@ -21,40 +21,41 @@
 import type { RequestForm } from "./requestForm.js";
 
 /**
- * Lease of placing, ms. Shorter than that of orders: placing needs no
- * authority, and entries place by guess until a lost holder is replaced.
+ * Duration of the placement lease, ms. It is shorter than the lease for orders:
+ * placement needs no exclusive authority, and until a lost holder is replaced
+ * entries place by their own estimates.
  */
 const PLACEMENT_LEASE_MS = 1500;
-/** Period of keeping leases, planning stages and dropping lost grants, ms. */
-const STEP_MS = 300;
-/** An entry leaves the lease to schedulers for so many lease times, … */
-const ENTRY_PATIENCE_LEASES = 3;
+/** Interval for renewing leases, planning stages and expiring grants, ms. */
+const STEP_INTERVAL_MS = 300;
+/** An entry waits this many lease durations for a scheduler to take over, … */
+const ENTRY_TAKEOVER_DELAY_LEASES = 3;
 /**
- * … unless it has so many cores for placing: what a holder of a large fleet
- * takes.
+ * … unless it has at least this many cores for placement, which is what a
+ * holder needs for a large fleet.
  */
-const HOLDER_CORES = 0.6;
+const MIN_HOLDER_CORES = 0.6;
 
-/** What a process does besides placing. */
+/** Type of the process that takes part in placement. */
 export type PlacementHost = "entry" | "scheduler";
 
 export interface PlacementRoleOptions {
   host: PlacementHost;
-  /** Name of the process. */
+  /** Id of the process. */
   id: string;
   peerAddress: string;
-  /** Processor time that it has for placing, in cores. */
+  /** Processor time available for placement, in cores. */
   capacity: number;
-  /** Time that orders of two holders must lie apart, ms. */
+  /** Minimum time between the orders of two successive holders, ms. */
   orderLeaseMs: number;
   keyBounds: KeyBounds;
-  /** Undefined where the platform wants no usage report. */
+  /** Undefined if the platform requires no usage reports. */
   usage: UsageWindows | undefined;
   duties: DutyPort | undefined;
   wallNow: () => number;
-  /** For leases and proofs; see `newLeaseClock`. */
+  /** Clock for leases and configuration proofs; see `newLeaseClock`. */
   leaseNow: () => number;
-  /** Services whose leases it keeps or seeks. */
+  /** Services whose leases this process holds or tries to acquire. */
   services(): string[];
   state: GatewayState;
   feed: ObjectFeed;
@@ -67,9 +68,9 @@
 
 export interface PlacementRole {
   placement: SharedPlacement;
-  /** Where others reach it. */
+  /** Address at which peers reach this process. */
   peerAddress: string;
-  /** A request of a workspace began to run `agoMs` ago. */
+  /** Counts a request of a workspace that began to run `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void;
   start(supervisor: Supervisor): void;
   stop(): void;
@@ -79,8 +80,11 @@
   options: PlacementRoleOptions,
 ): Promise<PlacementRole> => {
   const { host, id, services, state, feed, client, rates, log, now } = options;
-  const isPatient = host === "entry" && options.capacity < HOLDER_CORES;
-  const patienceMs = isPatient ? PLACEMENT_LEASE_MS * ENTRY_PATIENCE_LEASES : 0;
+  const isTakeoverDelayed =
+    host === "entry" && options.capacity < MIN_HOLDER_CORES;
+  const patienceMs = isTakeoverDelayed
+    ? PLACEMENT_LEASE_MS * ENTRY_TAKEOVER_DELAY_LEASES
+    : 0;
   let address = options.peerAddress;
   const local: LocalPlacement = new LocalPlacement({
     engines: (service) => state.engines(service),
@@ -114,7 +118,7 @@
     leaseMark: (service) => placement.leaseMark(service),
     configNews: (known) => state.configNews(known),
     onLeaving: (engine) => state.replicas.signals.leave(engine, now()),
-    onUsage: (process, window) => duties?.onPeerCounts(process, window),
+    onUsage: (process, window) => duties?.recordCounts(process, window),
     rates: () => rates.all(now()),
     onRate: (news) => placement.permits.learn([news]),
     permit: (replica) => placement.permits.permitHere(replica),
@@ -127,8 +131,8 @@
     placement.permits.tell(serviceOf(news.replica), news);
   const duties = newDuties(options, placement);
   address = await peers.listen(options.peerAddress);
-  const work = new LeaseHolderTasks({ ...options, local, placement });
-  const keyProof = new ConfigProofRequester(
+  const holderTasks = new LeaseHolderTasks({ ...options, local, placement });
+  const proofRequester = new ConfigProofRequester(
     state,
     placement,
     options.keyBounds,
@@ -144,10 +148,10 @@
     await placement.step(services());
   };
   const start = (supervisor: Supervisor): void => {
-    supervisor.every("placement", STEP_MS, step);
-    work.start(supervisor, STEP_MS);
+    supervisor.every("placement", STEP_INTERVAL_MS, step);
+    holderTasks.start(supervisor, STEP_INTERVAL_MS);
     duties?.start(supervisor);
-    if (host === "entry") keyProof.start(supervisor);
+    if (host === "entry") proofRequester.start(supervisor);
   };
   const stop = (): void => {
     placement.close();
--- a/src/gateway/schedulerDaemon.ts
+++ b/src/gateway/schedulerDaemon.ts
@@ -1,7 +1,7 @@
 /**
- * A scheduler: places the requests of all entries for each service whose
- * lease it holds, and stands by for the others. It carries no traffic, and
- * keeps nothing that must last.
+ * Scheduler process: places the requests of all entries for each service whose
+ * lease it holds, and is a standby for the other services. It carries no
+ * traffic and stores nothing durable.
  */
 import type { Daemon } from "../daemon/types.js";
 import { Supervisor } from "../tasks/index.js";
@@ -15,18 +15,18 @@
 import { UpstreamClient } from "./upstreamClient.js";
 
 export interface SchedulerSettings {
-  /** Name of this process, unique in the fleet. */
+  /** Id of this process, unique in the fleet. */
   id: string;
-  /** Where entries reach it. */
+  /** Address at which entries reach it. */
   peerAddress: string;
-  /** Processor time of its VM, in cores. */
+  /** Processor time available on its VM, in cores. */
   processorShare: number;
-  /** Time that orders of two holders must lie apart, ms. */
+  /** Minimum time between the orders of two successive holders, ms. */
   leaseMs: number;
-  /** After a cut from the store has healed, it knows the news by then, ms. */
+  /** Maximum time to catch up after the store is reachable again, ms. */
   catchUpMs: number;
   keyBounds: KeyBounds;
-  /** Undefined where the platform wants no usage report. */
+  /** Undefined if the platform requires no usage reports. */
   usage: UsageWindows | undefined;
 }
 
@@ -72,7 +72,7 @@
   });
   const isHolder = () =>
     state.engineServices().some((name) => role.placement.isHolder(name));
-  // A standby needs to know no more than which services there are.
+  // A standby only needs the names of the services.
   watchStore(supervisor, parts, state, settings.catchUpMs, {
     config: () => state.routes === undefined || isHolder(),
     replicas: isHolder,
--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -1,8 +1,8 @@
 /**
- * Orders changes of stage while this process holds a service's lease: takes
- * the demand from its scheduler, asks the planner, and sends one order at a
- * time to an engine, to a few engines at once, with the lease's epoch as
- * fencing number.
+ * Orders stage changes while this process holds a service's lease. It takes the
+ * demand from the scheduler, asks the planner for changes and sends orders: to
+ * several engines at a time, at most one to each, with the lease epoch as the
+ * fencing token.
  */
 import type { EngineScheduler, Stage } from "../scheduling/index.js";
 import { planStages, StageDemand } from "../scheduling/index.js";
@@ -19,18 +19,18 @@
 import type { Replica } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An order without an answer by then may or may not be carried out, ms. */
-const ORDER_MS = 1500;
-/** A change that has not shown by then is given up, ms. */
-const CHANGE_LOST_MS = 15_000;
-/** No order for this long after one was refused, ms. */
+/** Order timeout, ms. An order that timed out may still be executed. */
+const ORDER_TIMEOUT_MS = 1500;
+/** A change that the replica list does not show by then is given up, ms. */
+const CHANGE_TIMEOUT_MS = 15_000;
+/** Pause after a refused order, ms. */
 const REFUSED_PAUSE_MS = 1000;
-/** Orders of one step at the most, each to another engine. */
-const ORDERS_AT_ONCE = 4;
-/** Answers to orders are short. */
+/** Maximum orders of one step, each to a different engine. */
+const MAX_ORDERS_PER_STEP = 4;
+/** Limit on responses to orders and state reports, bytes. */
 const MAX_ANSWER_BYTES = 16 * 1024;
 
-/** What became of an order; `unknown`: it may be carried out later. */
+/** Result of an order; `unknown`: it may still be executed. */
 interface OrderOutcome {
   kind: "accepted" | "refused" | "unknown";
   why: string;
@@ -50,13 +50,13 @@
   now: () => number;
 }
 
-interface Changing {
+interface PendingChange {
   to: Stage;
   since: number;
 }
 
 export class StageController {
-  private readonly changing = new Map<string, Changing>();
+  private readonly pendingChanges = new Map<string, PendingChange>();
   private readonly lastChange = { prefill: -Infinity, decode: -Infinity };
   private refusedUntil = 0;
   private readonly guard: TakeoverGuard;
@@ -70,11 +70,11 @@
   async step(): Promise<void> {
     const { now, scheduler } = this.options;
     this.demand.measure(scheduler.asked, scheduler.engineStates(), now());
-    this.settleChanges(now());
+    this.pruneChanges(now());
     const mayOrder = this.guard.fence(now()) !== undefined;
     if (!mayOrder || now() < this.refusedUntil) return;
     const changes: StageChange[] = [];
-    while (changes.length < ORDERS_AT_ONCE) {
+    while (changes.length < MAX_ORDERS_PER_STEP) {
       const change = this.plan(now());
       if (change === undefined) break;
       this.begin(change);
@@ -83,24 +83,24 @@
     await Promise.all(changes.map((change) => this.order(change)));
   }
 
-  /** From now on the change counts as under way. */
+  /** Marks the change as in progress. */
   private begin({ id, to }: StageChange): void {
     const { scheduler, now } = this.options;
     const since = now();
-    this.changing.set(id, { to, since });
+    this.pendingChanges.set(id, { to, since });
     this.lastChange[to] = since;
-    scheduler.close(id, since + CHANGE_LOST_MS);
+    scheduler.close(id, since + CHANGE_TIMEOUT_MS);
   }
 
-  /** Forgets changes that have shown in the list, or never will. */
-  private settleChanges(now: number): void {
+  /** Drops changes that the replica list shows, and those that timed out. */
+  private pruneChanges(now: number): void {
     const { scheduler, replicas, log } = this.options;
-    for (const [id, { to, since }] of this.changing) {
+    for (const [id, { to, since }] of this.pendingChanges) {
       const replica = replicas.get(id);
       const isDone = replica?.stage === to;
-      const isLost = now - since > CHANGE_LOST_MS;
-      if (replica !== undefined && !isDone && !isLost) continue;
-      this.changing.delete(id);
+      const isTimedOut = now - since > CHANGE_TIMEOUT_MS;
+      if (replica !== undefined && !isDone && !isTimedOut) continue;
+      this.pendingChanges.delete(id);
       scheduler.close(id, 0);
       log.info("change of stage ended", {
         replica: id,
@@ -114,8 +114,8 @@
   private plan(now: number): StageChange | undefined {
     const { scheduler, replicas, rates } = this.options;
     const { demand } = this;
-    // One that backs off, or takes fewer than it would get, is lost for the
-    // while, and takes no order.
+    // An engine that backs off, or whose rate limit is below its load, counts as
+    // unavailable for now and accepts no order.
     const engines = scheduler
       .engineStates()
       .filter(
@@ -128,7 +128,7 @@
         ...engine.view,
         runs: engine.runCount,
         runTokens: engine.runTokens,
-        changingTo: this.changing.get(engine.view.id)?.to,
+        changingTo: this.pendingChanges.get(engine.view.id)?.to,
       })),
       readDemand: demand.read,
       restDemand: demand.rest,
@@ -155,7 +155,7 @@
       answer: outcome.why,
     });
     if (outcome.kind !== "refused") return;
-    this.changing.delete(id);
+    this.pendingChanges.delete(id);
     scheduler.close(id, 0);
     this.refusedUntil = now() + REFUSED_PAUSE_MS;
   }
@@ -166,33 +166,37 @@
     fence: number,
   ): Promise<OrderOutcome> {
     const { form, self, service, authority, replicas, now } = this.options;
-    const asked = await this.call(
+    const reported = await this.call(
       replica,
       form.reportCall(replica),
       "question",
     );
-    if (asked.kind !== "accepted") return { ...asked, kind: "refused" };
-    const report = form.readReport(asked.why);
-    if (report.isBusy) return { kind: "refused", why: "it is busy" };
+    if (reported.kind !== "accepted") return { ...reported, kind: "refused" };
+    const report = form.readReport(reported.why);
+    if (report.isBusy)
+      return { kind: "refused", why: "engine is executing another order" };
     if (isOtherLife(replica, report)) {
       replicas.deny(replica.id, now());
-      return { kind: "refused", why: "it has started again" };
+      return { kind: "refused", why: "engine has restarted" };
     }
     const { orders } = report;
     const order = form.stageOrder(replica, stage, self, fence, orders);
     if (!authority.isFresh(service) || authority.epoch(service) !== fence) {
-      return { kind: "refused", why: "the lease is not fresh" };
+      return {
+        kind: "refused",
+        why: "lease is not fresh or its epoch has changed",
+      };
     }
     return this.call(replica, order, "work");
   }
 
-  /** `why` is the answer's text where it was accepted. */
+  /** If accepted, `why` is the body of the response. */
   private async call(
     replica: Replica,
     call: ReplicaCall,
     purpose: SendPurpose,
   ): Promise<OrderOutcome> {
-    const cancellation = new BoundedCancellation(undefined, ORDER_MS);
+    const cancellation = new BoundedCancellation(undefined, ORDER_TIMEOUT_MS);
     const request = { ...call, purpose, cancellation };
     const sent = await this.options.client.send(replica, request);
     if (sent.kind === "failed") {
--- a/src/gateway/usageTracker.ts
+++ b/src/gateway/usageTracker.ts
@@ -1,8 +1,8 @@
 /**
- * Duties of the fleet at one process: it counts the requests of workspaces
- * that begin to run, tells its counts to the process that holds the duty,
- * and reports for all while it holds the duty itself. The duty lies with the
- * holder of the first model service's lease.
+ * Usage accounting in one process. It counts the requests of workspaces that
+ * begin to run, sends the counts to the process responsible for the usage
+ * report, and reports for the whole fleet while it is responsible itself. The
+ * holder of the lease of the first model service, by name, is responsible.
  */
 import { TakeoverGuard } from "../placement/index.js";
 import type { SharedPlacement } from "../placement/index.js";
@@ -20,17 +20,17 @@
   WindowCounts,
 } from "../workspaces/index.js";
 
-/** Period of telling counts, ms: what a process that is lost takes along. */
-const TELL_MS = 1000;
-/** Period of looking for a report that is due, ms. */
-const REPORT_MS = 300;
+/** Interval of sending counts, ms; a crash loses the counts of one interval. */
+const PUBLISH_INTERVAL_MS = 1000;
+/** Interval of checking whether a report is due, ms. */
+const REPORT_CHECK_INTERVAL_MS = 300;
 
 export interface UsageTrackerOptions {
-  /** Name of this machine. */
+  /** Id of this process. */
   self: string;
   windows: UsageWindows;
   port: DutyPort;
-  /** Time that calls of two holders must lie apart, ms. */
+  /** Minimum time between the calls of two successive holders, ms. */
   leaseMs: number;
   /** Services that have engines. */
   services(): readonly string[];
@@ -44,7 +44,7 @@
 export class UsageTracker {
   private readonly counts: UsageCounts;
   private readonly ledger = new UsageLedger();
-  /** Names this life of the process: counts of an earlier one add to it. */
+  /** Identifies this run of the process; counts of earlier runs are added. */
   private readonly process: string;
   private readonly reporters = new Map<string, UsageReporter>();
 
@@ -55,39 +55,43 @@
   }
 
   start(supervisor: Supervisor): void {
-    supervisor.every("usage counts", TELL_MS, async () => this.tell());
-    supervisor.every("usage report", REPORT_MS, () => this.report());
+    supervisor.every("usage counts", PUBLISH_INTERVAL_MS, async () =>
+      this.publish(),
+    );
+    supervisor.every("usage report", REPORT_CHECK_INTERVAL_MS, () =>
+      this.report(),
+    );
   }
 
-  /** A request of a workspace began to run `agoMs` ago. */
+  /** Counts a request of a workspace that began to run `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void {
     this.counts.note(workspace, agoMs);
   }
 
-  /** Another process has counted so. */
-  onPeerCounts(process: string, window: WindowCounts): void {
+  /** Takes the counts of a process, of this one or of a peer. */
+  recordCounts(process: string, window: WindowCounts): void {
     this.ledger.tell(process, window);
   }
 
-  /** A holder that was just connected to knows nothing of this process. */
+  /** Sends all counts to a newly connected holder, which has none of them. */
   onHolder(service: string): void {
     if (service !== this.service) return;
     this.options.placement.tellUsage(service, this.process, this.counts.all());
   }
 
-  /** The service whose holder has the duty. */
+  /** The service whose lease holder is responsible for the report. */
   private get service(): string | undefined {
     return [...this.options.services()].sort()[0];
   }
 
-  private tell(): void {
+  private publish(): void {
     const { service } = this;
     const { placement } = this.options;
     if (service === undefined) return;
     const news = this.counts.takeNews();
     if (placement.isHolder(service)) {
       for (const window of this.counts.all())
-        this.onPeerCounts(this.process, window);
+        this.recordCounts(this.process, window);
     } else if (news.length > 0) {
       placement.tellUsage(service, this.process, news);
     }
