--- a/src/gateway/gatewayState.ts
+++ b/src/gateway/gatewayState.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway knows: the configuration in force and the replicas. Both
- * come from the store; a configuration never goes back to an older one.
+ * The gateway's view of the store: the active configuration and the replicas.
+ * The configuration is never replaced by an older one.
  */
 import type { EngineView } from "../scheduling/index.js";
 import type { FeedChange, FeedItem } from "../store/index.js";
@@ -13,7 +13,7 @@
 import { RouteTable } from "./routeTable.js";
 import type { GatewayConfig, GatewayService, Replica } from "./types.js";
 
-/** How stored objects become configurations and replicas. */
+/** Which stored objects are configurations and replicas, and their decoders. */
 export interface GatewaySource {
   /** Kind and name of the configuration. */
   configKind: string;
@@ -24,15 +24,15 @@
   decodeReplica(id: string, value: unknown): Replica;
 }
 
-/** Of a name or a cause in a log line; other writers may write 1 MB. */
+/** Limit on names and error texts in log lines; stored ones may be 1 MB. */
 const MAX_LOGGED_CHARS = 200;
 
-/** A list of engines and what it was made from. */
+/** A cached list of engines and the inputs that it was built from. */
 interface EngineList {
   table: RouteTable | undefined;
-  /** Of the set of replicas. */
+  /** Revision of the replica set. */
   revision: number;
-  /** Instant from which it has to be made anew, ms. */
+  /** When the list expires, ms. */
   until: number;
   engines: readonly EngineView[];
 }
@@ -41,27 +41,27 @@
   readonly replicas: ReplicaSet;
   private readonly freshness = new ConfigFreshness();
   private table: RouteTable | undefined;
-  /** The stored object of the configuration in force. */
+  /** The stored object of the active configuration. */
   private configItem: FeedItem | undefined;
   /**
-   * The store's newest one could not be read, or is older than the one held:
-   * the one held is not proven.
+   * Whether the store's newest configuration could not be decoded, or is older
+   * than the active one. The active one is then not proven to be the newest.
    */
-  private isConfigBehind = false;
+  private isConfigUnproven = false;
   private hasReplicas = false;
-  /** Told of each object that can't be read, by what it should be. */
+  /** Called for each object that can't be decoded, with its expected kind. */
   onUnreadable: (what: string) => void = () => undefined;
-  /** Told of what lies beside the configuration in the store. */
+  /** Called with the status that is stored next to the configuration. */
   onStatus: (status: unknown) => void = () => undefined;
-  /** Told of each replica that the list has lost. */
+  /** Called for each replica removed from the list. */
   onGone: (replica: Replica) => void = () => undefined;
-  private readonly engineLists = new Map<string, EngineList>();
+  private readonly engineListCache = new Map<string, EngineList>();
 
   constructor(
     private readonly source: GatewaySource,
     private readonly log: Log,
     private readonly now: () => number,
-    /** For the age of proofs; see `newLeaseClock`. */
+    /** Clock for the age of proofs; see `newLeaseClock`. */
     private readonly leaseNow: () => number,
     private readonly onConfig: (config: GatewayConfig) => void,
     /** See `ReplicaSet`. */
@@ -74,20 +74,20 @@
     return this.table;
   }
 
-  /** Knows a configuration and follows the list of replicas. */
+  /** Whether a configuration is active and the replica list is watched. */
   get isReady(): boolean {
     return this.table !== undefined && this.hasReplicas;
   }
 
   onConfigItem(item: FeedItem): void {
     if (item.name !== this.source.configName) return;
-    // The same revision may have come from a process that tells no status.
+    // The known revision may be from a peer, which sends no status.
     const isCurrent = item.revision >= this.configRevision;
     if (item.status !== undefined && isCurrent) this.onStatus(item.status);
     const config = this.decode("configuration", item, () =>
       this.source.decodeConfig(item.value),
     );
-    this.isConfigBehind = config === undefined;
+    this.isConfigUnproven = config === undefined;
     if (config === undefined) return;
     const known = this.table?.version;
     if (known !== undefined && config.version <= known) {
@@ -95,8 +95,8 @@
         if (isCurrent) this.configItem = item;
         return;
       }
-      // A store that has come back from a copy can't prove what is newest.
-      this.isConfigBehind = true;
+      // A store restored from a backup can't prove which one is the newest.
+      this.isConfigUnproven = true;
       const fields = { known, offered: config.version };
       this.log.warn("older configuration ignored", fields);
       return;
@@ -109,28 +109,31 @@
     this.onConfig(config);
   }
 
-  /** What is held was the store's newest configuration at that instant. */
+  /** The active configuration was the store's newest one at time `asOf`. */
   onConfigProven(asOf: number): void {
-    if (this.isConfigBehind || this.table === undefined) return;
+    if (this.isConfigUnproven || this.table === undefined) return;
     this.freshness.prove(asOf);
   }
 
-  /** Age of the proof that the configuration is the newest, ms. */
+  /** Age of the proof that the active configuration is the newest, ms. */
   get proofAgeMs(): number {
     return this.freshness.ageMs(this.leaseNow());
   }
 
-  /** The stored object of the configuration in force. */
+  /** The stored object of the active configuration. */
   get storedConfig(): FeedItem | undefined {
     return this.configItem;
   }
 
-  /** Revision of the configuration that is held; 0: none. */
+  /** Store revision of the active configuration; 0 if there is none. */
   get configRevision(): number {
     return this.configItem?.revision ?? 0;
   }
 
-  /** For a process that holds revision `known`; undefined: nothing proven. */
+  /**
+   * Update for a peer that has revision `known`; undefined if there is no proven
+   * configuration.
+   */
   configNews(known: number): ConfigNews | undefined {
     const ageMs = this.proofAgeMs;
     if (this.configItem === undefined || !Number.isFinite(ageMs)) return;
@@ -138,7 +141,7 @@
     return { revision, ageMs, value: known === revision ? undefined : value };
   }
 
-  /** Another process answered so to a question that was sent at `sentAt`. */
+  /** Takes a peer's answer to a configuration query sent at `sentAt`. */
   onConfigNews({ revision, ageMs, value }: ConfigNews, sentAt: number): void {
     if (revision < this.configRevision) return;
     const { configName: name } = this.source;
@@ -161,7 +164,7 @@
     this.hasReplicas = true;
   }
 
-  /** The replicas are not followed any more. */
+  /** The replica list is no longer watched. */
   onReplicasStale(): void {
     this.hasReplicas = false;
   }
@@ -179,7 +182,7 @@
     this.logChanges(changes);
   }
 
-  /** Gives up replicas that vanished and did not come back. */
+  /** Removes replicas that vanished and did not come back in time. */
   expire(): void {
     this.logChanges(this.replicas.expire(this.now()));
   }
@@ -196,22 +199,22 @@
   }
 
   /**
-   * The engines of a service that may get new work; the same list until it
-   * changes, since each request asks for it.
+   * The engines of a service that may get new work. The list is cached until it
+   * changes, since it is read for each request.
    */
   engines(service: string): readonly EngineView[] {
     const { table, replicas } = this;
     const now = this.now();
-    const kept = this.engineLists.get(service);
-    const isKept =
-      kept?.table === table &&
-      kept?.revision === replicas.revision &&
-      now < kept.until;
-    if (isKept) return kept.engines;
+    const cached = this.engineListCache.get(service);
+    const isCacheValid =
+      cached?.table === table &&
+      cached?.revision === replicas.revision &&
+      now < cached.until;
+    if (isCacheValid) return cached.engines;
     const engines = this.listEngines(service, now);
     const { revision } = replicas;
     const until = replicas.usableUntil(now);
-    this.engineLists.set(service, { table, revision, until, engines });
+    this.engineListCache.set(service, { table, revision, until, engines });
     return engines;
   }
 
@@ -219,7 +222,7 @@
     const sizes = this.table?.service(service)?.engine;
     if (sizes === undefined) return [];
     const usable = this.replicas.usable(service, now);
-    // Where engines have stages, an entry without one is another writer's.
+    // Where engines have stages, a record without one is not the engine's own.
     const hasStages = usable.some(({ stage }) => stage !== undefined);
     const engines = usable.filter(({ stage }) => !hasStages || stage);
     return engines.map((replica) => ({
@@ -231,7 +234,7 @@
     }));
   }
 
-  /** An entry that can't be read names no replica, nor the one of before. */
+  /** Decodes a replica; if that fails, the one stored before is dropped too. */
   private readReplica(item: FeedItem): Replica | undefined {
     const replica = this.decode("replica", item, () =>
       this.source.decodeReplica(item.name, item.value),
@@ -242,7 +245,7 @@
     return undefined;
   }
 
-  /** What can't be decoded is logged, and the last good state kept. */
+  /** Decodes an object; a failure is logged, and the last good state stays. */
   private decode<T>(
     what: string,
     item: FeedItem,
--- a/src/gateway/routeTable.ts
+++ b/src/gateway/routeTable.ts
@@ -1,4 +1,4 @@
-/** Which route and service a request goes to. Pure. */
+/** Selects the route and service of a request, without side effects. */
 import type { Rng } from "../shared/rng.js";
 import { Keyring } from "../workspaces/index.js";
 import type { GatewayConfig, GatewayService, Route } from "./types.js";
@@ -8,7 +8,7 @@
   readonly version: number;
   private readonly byHost = new Map<string, Route[]>();
   private readonly services: Map<string, GatewayService>;
-  /** Undefined where requests need no key. */
+  /** Undefined if requests need no key. */
   readonly keyring: Keyring | undefined;
 
   constructor(readonly config: GatewayConfig) {
@@ -26,7 +26,7 @@
     }
   }
 
-  /** The route whose prefix is the longest that begins the path. */
+  /** The route with the longest matching path prefix. */
   match(host: string, target: string): Route | undefined {
     const query = target.indexOf("?");
     const path = query < 0 ? target : target.slice(0, query);
@@ -43,13 +43,13 @@
   }
 }
 
-/** Draws one of the route's services by weight; undefined if it has none. */
+/** Picks a service of the route at random, by weight; undefined if none. */
 export const drawService = (route: Route, rng: Rng): string | undefined => {
   const total = route.targets.reduce((sum, item) => sum + item.weight, 0);
-  let left = rng() * total;
+  let remaining = rng() * total;
   for (const target of route.targets) {
-    left -= target.weight;
-    if (left < 0) return target.service;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
   return route.targets.at(-1)?.service;
 };
--- a/src/gateway/storeWatch.ts
+++ b/src/gateway/storeWatch.ts
@@ -1,11 +1,11 @@
-/** Keeps what a process knows in step with the store. */
+/** Keeps the gateway state of a process up to date with the store. */
 import { FeedWatch, watchWaitMs } from "../store/index.js";
 import type { Supervisor } from "../tasks/index.js";
 import { provenAt } from "../workspaces/index.js";
 import type { GatewayDependencies } from "./gatewayDependencies.js";
 import type { GatewayState } from "./gatewayState.js";
 
-/** While false, a kind is not followed; afterwards its list is read anew. */
+/** A kind is not watched while false; its list is read again afterwards. */
 export interface WatchConditions {
   config: () => boolean;
   replicas: () => boolean;
@@ -13,12 +13,12 @@
 
 const ALWAYS: WatchConditions = { config: () => true, replicas: () => true };
 
-/** Follows the configuration and the replicas. */
+/** Watches the configuration and the replicas. */
 export const watchStore = (
   supervisor: Supervisor,
   { source, feed, log, rng, now, leaseNow }: GatewayDependencies,
   state: GatewayState,
-  /** Time after a cut within which the process must know the news, ms. */
+  /** Maximum time to catch up after the store is reachable again, ms. */
   catchUpMs: number,
   isActive: WatchConditions = ALWAYS,
 ): void => {
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -1,22 +1,26 @@
 /**
- * What the gateway knows of routes, replicas and requests. A gateway is an
- * entry that reaches replicas without a side: see docs/PLATFORM.md.
+ * Routes, replicas and requests as the gateway sees them. A gateway is an
+ * entry process that calls replicas directly, without a side process in
+ * between; see docs/PLATFORM.md.
  */
 import type { Stage } from "../scheduling/index.js";
 import type { KeyClaim, Workspace } from "../workspaces/index.js";
 
 export const ROUTE_KINDS = ["safe", "unsafe", "stream"] as const;
 
-/** `safe` may run again; `unsafe` at most once; `stream` answers in events. */
+/**
+ * `safe`: may be retried; `unsafe`: runs at most once; `stream`: the response
+ * is an event stream.
+ */
 export type RouteKind = (typeof ROUTE_KINDS)[number];
 
-/** One service that a route leads to, and its share. */
+/** A service that a route forwards to, and its share of the requests. */
 export interface RouteTarget {
   service: string;
   weight: number;
 }
 
-/** One route of the configuration. */
+/** A route of the configuration. */
 export interface Route {
   name: string;
   /** Lower case, without a port. */
@@ -24,59 +28,59 @@
   /** Begins and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** Longest time that a request may be held, ms. */
+  /** Request timeout, ms. */
   timeoutMs: number;
-  /** Time in which an answer, or its first event, is in time, ms. */
+  /** Latency objective of the response or of its first event, ms. */
   objectiveMs: number;
   /**
-   * Longest silence of a stream that callers bear, before its first event
-   * too; unbounded where answers come whole, ms.
+   * Maximum time without an event on a stream, before the first event too, ms;
+   * unbounded where responses are not streamed.
    */
   maxEventGapMs: number;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: number;
-  /** Replicas that may run one request at the most. */
+  /** Maximum number of replicas that may run one request. */
   maxAttempts: number;
-  /** Whether a cut stream may go on at another replica. */
+  /** Whether an interrupted stream may be resumed on another replica. */
   isResumable: boolean;
-  /** Whether callers need no key of a workspace. */
+  /** Whether the route is open to callers without a workspace key. */
   isPublic: boolean;
   targets: RouteTarget[];
 }
 
-/** Sizes of a service's engines; absent for plain services. */
+/** Capacity and timing of a service's engines; absent for plain services. */
 export interface EngineSettings {
   slots: number;
-  /** Tokens of KV cache that an engine holds. */
+  /** KV cache capacity of an engine, tokens. */
   kvCapacityTokens: number;
-  /** How long a read prompt is kept for another engine, ms. */
+  /** How long a prefilled prompt is kept for another engine, ms. */
   handleTtlMs: number;
-  /** Time an engine is away while its stage changes, ms. */
+  /** How long an engine is unavailable while it changes stage, ms. */
   stageChangeMs: number;
 }
 
-/** One service of the configuration. */
+/** A service of the configuration. */
 export interface GatewayService {
   name: string;
-  /** Connections that one replica takes from all callers together. */
+  /** Maximum connections to one replica, over all callers. */
   maxConnections: number;
   engine: EngineSettings | undefined;
 }
 
-/** Limits on what callers send. */
+/** Limits on callers' requests. */
 export interface CallerLimits {
   maxBodyBytes: number;
   headerTimeoutMs: number;
   idleTimeoutMs: number;
 }
 
-/** A whole configuration, decoded. */
+/** A decoded configuration. */
 export interface GatewayConfig {
   version: number;
   routes: Route[];
   services: GatewayService[];
   limits: CallerLimits;
-  /** Undefined: requests need no key, and heads pass as they are. */
+  /** Undefined: requests need no key, and headers are forwarded unchanged. */
   workspaces: Workspace[] | undefined;
 }
 
@@ -84,13 +88,13 @@
 
 export type ReplicaState = (typeof REPLICA_STATES)[number];
 
-/** One running replica of a service. */
+/** A running replica of a service. */
 export interface Replica {
-  /** Names one life: all that is known of a replica ends with it. */
+  /** Identifies one run of the replica; state kept for it ends with the run. */
   id: string;
-  /** Under which it answers; a replica may keep it over a restart. */
+  /** Name that the replica answers to; it may stay the same over a restart. */
   name: string;
-  /** Start of this life, ms since 1970; undefined where it does not say. */
+  /** Start of this run, ms since 1970; undefined if the replica reports none. */
   startedAt: number | undefined;
   service: string;
   /** IP and port. */
@@ -102,104 +106,105 @@
   stage: Stage | undefined;
 }
 
-/** What an engine says of itself, some hundred ms late. */
+/** An engine's report of its own state, a few hundred ms old. */
 export interface EngineReport {
-  /** As in the list of replicas. */
+  /** Start time, as in `Replica`. */
   startedAt: number | undefined;
   stage: Stage;
-  /** An order is being carried out. */
+  /** Whether the engine is executing a stage order. */
   isBusy: boolean;
-  /** Orders that it has taken since its start. */
+  /** Stage orders accepted since the engine started. */
   orders: number;
-  /** Requests that it works on, and that wait there. */
+  /** Requests being processed. */
   running: number;
+  /** Requests queued at the engine. */
   waiting: number;
 }
 
-/** One part of a prompt, shared between requests by its id. */
+/** A part of a prompt; requests with the same part share its id. */
 export interface PromptPart {
   id: string;
   tokens: number;
 }
 
-/** What a request says of its prompt. */
+/** A request's description of its prompt. */
 export interface PromptShape {
   model: string;
   promptTokens: number;
-  /** Most tokens of output, or the caller's better guess. */
+  /** The caller's estimate of output tokens, or the upper limit. */
   outputTokens: number;
   /** Upper limit of the output tokens. */
   mostOutputTokens: number;
   parts: PromptPart[];
 }
 
-/** The decoded head of a caller's request. */
+/** The decoded request line and headers of a caller's request. */
 export interface InboundHead {
   id: string;
   method: string;
   /** Lower case, without a port. */
   host: string;
-  /** Path and query, as sent. */
+  /** Path and query, as received. */
   target: string;
-  /** Time that the caller waits, ms; undefined if it did not say. */
+  /** Time that the caller waits, ms; undefined if not given. */
   deadlineMs: number | undefined;
   prompt: PromptShape | undefined;
-  /** Digest of the caller's key; undefined if it sent none. */
+  /** Digest of the caller's key; undefined if none was sent. */
   keyDigest: string | undefined;
-  /** Names and values in turn, as sent. */
+  /** Alternating names and values, as received. */
   rawHeaders: readonly string[];
 }
 
-/** A prompt that another replica has read. */
+/** Refers to the KV cache of a prompt that another replica has prefilled. */
 export interface KvHandle {
   /** Address of the replica that holds it. */
   address: string;
   id: string;
 }
 
-/** What one send to a replica asks for. */
+/** Parameters of one request to a replica. */
 export interface UpstreamSend {
-  /** Only the replica of this name may take it. */
+  /** Only the replica with this name may accept the request. */
   replicaName: string;
-  /** For whom it runs: replicas get a workspace's name, and no key. */
+  /** On whose behalf: replicas get the workspace's name, never the key. */
   claim: KeyClaim;
   deadlineMs: number;
-  /** `read`: the prompt alone; `run`: the answer. */
+  /** `read`: prefill the prompt only; `run`: generate the response. */
   phase: "read" | "run";
-  /** The run goes on from this read prompt. */
+  /** Prefilled prompt from which the run starts. */
   handle?: KvHandle;
-  /** Address of a replica whose cached parts it takes first. */
+  /** Address of a replica to fetch cached prompt parts from first. */
   cacheSource?: string;
-  /** The run goes on after this event. */
+  /** Id of the event after which the run resumes. */
   afterEventId?: string;
 }
 
-/** What an answer of a replica says of the replica itself. */
+/** What a replica's response says about the replica itself. */
 export interface ReplicaSignal {
-  /** It is about to end. */
+  /** The replica is about to shut down. */
   isLeaving: boolean;
-  /** It wants nothing from this process for so long, ms; 0 and less: none. */
+  /** How long this process must not send requests, ms; 0 or less: no back-off. */
   backOffMs: number | undefined;
-  /** Text that asks for back-off and can't be read. */
+  /** Back-off header that could not be parsed. */
   unreadBackOff?: string;
-  /** Requests a second that it takes from all processes together. */
+  /** Rate limit over all processes, requests per second. */
   limitPerS?: number;
-  /** Text that names such a limit and can't be read. */
+  /** Rate limit header that could not be parsed. */
   unreadLimit?: string;
 }
 
-/** What the head of a replica's answer says. */
+/** Decoded status and headers of a replica's response. */
 export interface ReplyHead {
   status: number;
-  /** The replica states that the request did not run. */
+  /** Whether the replica states that the request did not run. */
   isNotRun: boolean;
-  /** Another replica has this address now. */
+  /** The address now belongs to another replica. */
   isMisdirected: boolean;
-  /** The request that the answer belongs to. */
+  /** Id of the request that this is the response to. */
   requestId: string | undefined;
   isSigned: boolean;
   isEventStream: boolean;
   isEncoded: boolean;
-  /** Its status tells a caller that nothing ran. */
+  /** Whether the status tells a caller that the request did not run. */
   statusMeansNotRun: boolean;
 }
