--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -92,7 +92,7 @@
     scheduler.close(id, since + CHANGE_TIMEOUT_MS);
   }
 
-  /** Drops changes that the replica list shows, and those that timed out. */
+  /** Drops changes that are done, timed out or whose replica is gone. */
   private pruneChanges(now: number): void {
     const { scheduler, replicas, log } = this.options;
     for (const [id, { to, since }] of this.pendingChanges) {
