--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -16,7 +16,7 @@
 import { giveOrder } from "../src/control/index.js";
 import type { ControlRecord } from "../src/control/index.js";
 import { Digest } from "../src/gen/snowgate.js";
-import { Membership, RankedView } from "../src/membership/index.js";
+import { Membership, RankingCache } from "../src/membership/index.js";
 import type { Member } from "../src/membership/index.js";
 import { packBodies } from "../src/peers/packedBodies.js";
 import { requestDigest } from "../src/quarantine/index.js";
@@ -150,10 +150,10 @@
   let oldest = 0;
   const us = timeOf((round) => {
     gate.arrive(arrival(`r${round}`), 0);
-    gate.leave(`q${oldest}`);
+    gate.remove(`q${oldest}`);
     oldest += 1;
-    gate.release(0);
-    gate.leave(`r${round}`);
+    gate.admitWaiting(0);
+    gate.remove(`r${round}`);
   });
   add("admit and release, by queue", queued, us);
 };
@@ -173,7 +173,7 @@
   const rng = seededRng(2);
   const make = () => {
     const one = new Membership(memberOf(0));
-    one.hear(members, 0);
+    one.merge(members, 0);
     return one;
   };
   const heap = heapOf(make);
@@ -196,7 +196,7 @@
     quiet,
     heap,
   );
-  const domain = new RankedView(one, (item) => item.domain === "domain-0");
+  const domain = new RankingCache(one, (item) => item.domain === "domain-0");
   add(
     "am I a watcher, by members",
     size,
@@ -208,7 +208,7 @@
     size,
     timeOf(() => {
       incarnation += 1;
-      one.hear([{ ...memberOf(7), incarnation }], 0);
+      one.merge([{ ...memberOf(7), incarnation }], 0);
       domain.isSelfRanked("watch", 2);
     }),
   );
@@ -322,7 +322,7 @@
   const engines = service.upstreams.map(({ id }) => ({
     upstream: id,
     role: "mixed" as const,
-    isOpen: true,
+    isAvailable: true,
     prefillPerSecond: 6000,
     decodePerSecond: 700,
     ageMs: 10,
@@ -331,7 +331,7 @@
     "plan roles, by replicas",
     replicas,
     timeOf(() => {
-      planRole({ service, engines, sinceChangeMs: 1e9, awayMs: 5000 });
+      planRole({ service, engines, sinceChangeMs: 1e9, roleChangeMs: 5000 });
     }),
   );
 };
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -22,13 +22,13 @@
   deadlineAt: number;
 }
 
-export type AdmissionAnswer =
+export type AdmissionDecision =
   | { kind: "admitted" }
   | { kind: "queued" }
   | { kind: "refused"; why: "overloaded" | "deadline"; retryAfterMs: number };
 
 /** What to do with requests that waited. */
-export interface Released {
+export interface AdmissionUpdate {
   admitted: string[];
   /** Given up on: their deadline can't be met any more. */
   expired: string[];
@@ -109,7 +109,7 @@
     return this.active.size;
   }
 
-  arrive(arrival: Arrival, now: number): AdmissionAnswer {
+  arrive(arrival: Arrival, now: number): AdmissionDecision {
     const ahead = this.workAhead(arrival);
     const { capacity } = this.limits;
     const wait = waitMs(ahead, capacity, this.role);
@@ -139,15 +139,15 @@
   }
 
   /** A request ended, or its caller went away. */
-  leave(id: string): void {
+  remove(id: string): void {
     this.active.delete(id);
     this.reading.delete(id);
     this.waiting = this.waiting.filter((item) => item.id !== id);
   }
 
   /** Lets waiting requests in where there is room. */
-  release(now: number): Released {
-    const released: Released = { admitted: [], expired: [] };
+  admitWaiting(now: number): AdmissionUpdate {
+    const released: AdmissionUpdate = { admitted: [], expired: [] };
     const { work } = this;
     this.waiting = this.waiting.filter((item) => {
       // Given up as soon as it can't be done in time, not when time is over.
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,7 +1,7 @@
 export { Admission } from "./admission.js";
 export type {
-  AdmissionAnswer,
+  AdmissionDecision,
   AdmissionLimits,
   Arrival,
-  Released,
+  AdmissionUpdate,
 } from "./admission.js";
--- a/src/control/controlRecord.ts
+++ b/src/control/controlRecord.ts
@@ -25,7 +25,7 @@
   | { kind: "same" };
 
 /** Whether the newest order of an upstream is not finished yet. */
-export const isOpen = (
+export const isOrderPending = (
   desired: Desired | undefined,
   status: UpstreamStatus | undefined,
 ): boolean => {
@@ -70,7 +70,7 @@
   request: OrderRequest,
 ): OrderAnswer => {
   const before = record.desired[request.upstream];
-  if (before !== undefined && isOpen(before, status)) {
+  if (before !== undefined && isOrderPending(before, status)) {
     return { kind: "lost", winner: before.order };
   }
   if (isSame(request.action, before)) return { kind: "same" };
@@ -109,7 +109,7 @@
 ): ControlRecord => ({ ...record, lease: { ...lease, beat: lease.beat + 1 } });
 
 /** The record after the control loop changed a role. */
-export const noteRoleChange = (
+export const recordRoleChange = (
   record: ControlRecord,
   wallNow: number,
 ): ControlRecord => ({ ...record, roleChangedAt: wallNow });
--- a/src/control/index.ts
+++ b/src/control/index.ts
@@ -1,7 +1,7 @@
 export {
   giveOrder,
-  isOpen,
-  noteRoleChange,
+  isOrderPending,
+  recordRoleChange,
   renewLease,
   takeLease,
 } from "./controlRecord.js";
@@ -9,11 +9,11 @@
 export { ControlStore } from "./controlStore.js";
 export type { Versioned } from "./controlStore.js";
 export {
-  isHolding,
-  leaseStep,
-  leaseWritten,
+  isLeaseHeld,
+  nextLeaseStep,
+  leaseAfterWrite,
   NO_LEASE,
-  seeLease,
+  observeLease,
 } from "./leaseState.js";
 export type { LeaseState } from "./leaseState.js";
 export { CONTROL_KIND, EMPTY_CONTROL, STATUS_KIND } from "./types.js";
--- a/src/control/leaseState.ts
+++ b/src/control/leaseState.ts
@@ -32,7 +32,7 @@
   left?.beat === right?.beat;
 
 /** The lease was read. */
-export const seeLease = (
+export const observeLease = (
   state: LeaseState,
   lease: Lease | null,
   self: string,
@@ -45,14 +45,14 @@
 };
 
 /** A write that takes or renews it took effect; it was sent at `sentAt`. */
-export const leaseWritten = (
+export const leaseAfterWrite = (
   lease: Lease,
   seenAt: number,
   sentAt = seenAt,
 ): LeaseState => ({ seen: lease, seenAt, sentAt });
 
 /** Whether this process may act as the holder now. */
-export const isHolding = (
+export const isLeaseHeld = (
   state: LeaseState,
   self: string,
   leaseMs: number,
@@ -69,7 +69,7 @@
  * that one counts suspensions of its machine besides: they shorten the trust
  * in an own lease, and are no time for which another's was watched.
  */
-export const leaseStep = (
+export const nextLeaseStep = (
   state: LeaseState,
   self: string,
   leaseMs: number,
--- a/src/daemon/runtime.ts
+++ b/src/daemon/runtime.ts
@@ -5,7 +5,7 @@
 import csp from "js-csp";
 
 import { ConfigKeeper, ConfigWatch } from "../config/index.js";
-import { Membership, RankedView } from "../membership/index.js";
+import { Membership, RankingCache } from "../membership/index.js";
 import type { MemberKind } from "../membership/index.js";
 import { Gossip, PeerLink } from "../peers/index.js";
 import { seededRng } from "../shared/rng.js";
@@ -94,9 +94,9 @@
 };
 
 /** The members that may watch the store for this failure domain. */
-const domainView = (membership: Membership): RankedView => {
+const domainView = (membership: Membership): RankingCache => {
   const { domain } = membership.self;
-  return new RankedView(
+  return new RankingCache(
     membership,
     (item) => item.domain === domain && item.state === "alive",
   );
--- a/src/daemon/vmListWatch.ts
+++ b/src/daemon/vmListWatch.ts
@@ -55,7 +55,7 @@
       if (!leaving.has(upstream.vm)) continue;
       const member = membership.get(upstream.id);
       if (member === undefined || member.state === "leaving") continue;
-      membership.hear([{ ...member, state: "leaving" }], now);
+      membership.merge([{ ...member, state: "leaving" }], now);
     }
   }
 };
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -74,7 +74,7 @@
       });
       const end = await this.readAnswer(request, result, relay);
       this.learn(id, end);
-      if (end.kind === "failed") router.onNotRead(id, fresh);
+      if (end.kind === "failed") router.onPromptNotCached(id, fresh);
       return end;
     } finally {
       router.onEnd(id);
--- a/src/entry/controlLoop.ts
+++ b/src/entry/controlLoop.ts
@@ -5,15 +5,15 @@
 import { randomUUID } from "node:crypto";
 
 import {
-  isHolding,
-  isOpen,
-  leaseStep,
-  leaseWritten,
+  isLeaseHeld,
+  isOrderPending,
+  nextLeaseStep,
+  leaseAfterWrite,
   NO_LEASE,
-  noteRoleChange,
+  recordRoleChange,
   giveOrder,
   renewLease,
-  seeLease,
+  observeLease,
   takeLease,
 } from "../control/index.js";
 import type {
@@ -24,8 +24,8 @@
 } from "../control/index.js";
 import type { Service } from "../config/index.js";
 import type { PeerLink } from "../peers/index.js";
-import { nextDemand, planRole } from "../roles/index.js";
-import type { Demand, EngineReport, RolePlan } from "../roles/index.js";
+import { updateTokenRates, planRole } from "../roles/index.js";
+import type { TokenRates, EngineReport, RolePlan } from "../roles/index.js";
 import { restoreReport } from "../side/sideReport.js";
 import type { SideReport } from "../side/sideReport.js";
 import type { Log } from "../telemetry/index.js";
@@ -49,7 +49,7 @@
 
 export class ControlLoop {
   private lease: LeaseState = NO_LEASE;
-  private readonly demand = new Map<string, Demand>();
+  private readonly demand = new Map<string, TokenRates>();
   private readonly reports = new Map<string, SideReport>();
   private lastReportAt = -Infinity;
   /** The newest decision about roles, for `explain`. */
@@ -59,7 +59,7 @@
 
   get isHolder(): boolean {
     const { self, leaseMs, now } = this.options;
-    return isHolding(this.lease, self, leaseMs, now());
+    return isLeaseHeld(this.lease, self, leaseMs, now());
   }
 
   get epoch(): number {
@@ -70,10 +70,10 @@
   async step(service: Service): Promise<void> {
     const { control, self, leaseMs, now } = this.options;
     const read = await control.readControl(service.name);
-    this.lease = seeLease(this.lease, read.value.lease, self, now());
+    this.lease = observeLease(this.lease, read.value.lease, self, now());
     const current = await this.keepLease(service.name, read);
     if (current === undefined) return;
-    if (!isHolding(this.lease, self, leaseMs, now())) return;
+    if (!isLeaseHeld(this.lease, self, leaseMs, now())) return;
     await this.remind(service, current.value);
     await this.planRoles(service, current);
   }
@@ -84,7 +84,7 @@
     read: Versioned<ControlRecord>,
   ): Promise<Versioned<ControlRecord> | undefined> {
     const { control, self, leaseMs, now, log } = this.options;
-    const step = leaseStep(this.lease, self, leaseMs, now());
+    const step = nextLeaseStep(this.lease, self, leaseMs, now());
     if (step === "wait") return this.isHolder ? read : undefined;
     const { lease } = read.value;
     const next =
@@ -94,7 +94,7 @@
     const sentAt = now();
     const version = await control.writeControl(service, next, read.version);
     if (version === undefined || next.lease === null) return undefined;
-    this.lease = leaseWritten(next.lease, sentAt);
+    this.lease = leaseAfterWrite(next.lease, sentAt);
     if (step === "take") {
       log.info("lease taken", { service, epoch: next.lease.epoch });
     }
@@ -107,7 +107,7 @@
       const desired = record.desired[upstream.id];
       if (desired === undefined) continue;
       const status = await control.readStatus(upstream.id);
-      if (!isOpen(desired, status?.value)) continue;
+      if (!isOrderPending(desired, status?.value)) continue;
       const { seq } = desired.order;
       const hint = { upstream: upstream.id, seq };
       link.nudge(upstream.peerAddress, hint).catch(() => {
@@ -130,7 +130,7 @@
       service,
       engines: this.engineReports(service),
       sinceChangeMs: wallClock() - roleChangedAt,
-      awayMs: AWAY_MS,
+      roleChangeMs: AWAY_MS,
     });
     if (this.lastPlan.kind === "keep" || !this.isHolder) return;
     const { upstream, role, why } = this.lastPlan;
@@ -142,7 +142,7 @@
       by: `control loop of ${self}`,
     });
     if (answer.kind !== "accepted") return;
-    const record = noteRoleChange(answer.record, wallClock());
+    const record = recordRoleChange(answer.record, wallClock());
     // The expected version is from before the plan: a lease that was taken
     // since makes this write fail.
     const version = await control.writeControl(
@@ -162,7 +162,7 @@
           const { json } = await link.report(peerAddress);
           const report = restoreReport(json);
           this.reports.set(id, report);
-          const next = nextDemand(this.demand.get(id), report, now());
+          const next = updateTokenRates(this.demand.get(id), report, now());
           this.demand.set(id, next);
         } catch {
           this.reports.delete(id);
@@ -181,7 +181,7 @@
       found.push({
         upstream: id,
         role: report.role,
-        isOpen: report.state === "open",
+        isAvailable: report.state === "open",
         prefillPerSecond: demand.prefillPerSecond,
         decodePerSecond: demand.decodePerSecond,
         ageMs: now() - demand.at,
--- a/src/entry/controlLoops.ts
+++ b/src/entry/controlLoops.ts
@@ -1,6 +1,6 @@
 /** Runs the control loops of the services that this entry may hold. */
 import type { ConfigKeeper } from "../config/index.js";
-import { RankedView } from "../membership/index.js";
+import { RankingCache } from "../membership/index.js";
 import type { Membership } from "../membership/index.js";
 import type { RolePlan } from "../roles/index.js";
 import { errText } from "../shared/utils.js";
@@ -12,14 +12,14 @@
 
 export class ControlLoops {
   private readonly loops = new Map<string, ControlLoop>();
-  private readonly entries: RankedView;
+  private readonly entries: RankingCache;
 
   constructor(
     private readonly options: ControlLoopOptions,
     private readonly keeper: ConfigKeeper,
     private readonly membership: Membership,
   ) {
-    this.entries = new RankedView(
+    this.entries = new RankingCache(
       membership,
       (item) => item.kind === "entry" && item.state === "alive",
     );
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -10,7 +10,7 @@
 import type { Daemon } from "../daemon/types.js";
 import { HttpVmList, noteLeavingVms } from "../daemon/vmListWatch.js";
 import { listen } from "../http/index.js";
-import { RankedView } from "../membership/index.js";
+import { RankingCache } from "../membership/index.js";
 import type { Membership } from "../membership/index.js";
 import { PeerServer } from "../peers/index.js";
 import type { Gossip } from "../peers/index.js";
@@ -181,7 +181,7 @@
   if (settings.vmList === undefined) return;
   const list = new HttpVmList(settings.vmList.url);
   const { supervisor, keeper, now } = runtime;
-  const readers = new RankedView(
+  const readers = new RankingCache(
     membership,
     ({ kind, domain, state }) =>
       kind === "entry" && domain === settings.domain && state === "alive",
--- a/src/gateway/callerRequest.ts
+++ b/src/gateway/callerRequest.ts
@@ -7,7 +7,7 @@
 import { requestDigest } from "../quarantine/index.js";
 import type { RequestForm } from "./requestForm.js";
 import type { InboundHead, Route } from "./types.js";
-import type { KeyClaim, Workspace } from "../workspaces/index.js";
+import type { CallerIdentity, Workspace } from "../workspaces/index.js";
 
 /**
  * How long past its limit a request is held for an answer that is on its
@@ -20,7 +20,7 @@
   head: InboundHead;
   route: Route;
   service: string;
-  claim: KeyClaim;
+  claim: CallerIdentity;
   body: Buffer;
   arrivedAt: number;
   /** A request of a workspace began to run `agoMs` ago. */
@@ -39,7 +39,7 @@
   readonly head: InboundHead;
   readonly route: Route;
   readonly service: string;
-  readonly claim: KeyClaim;
+  readonly claim: CallerIdentity;
   readonly body: Buffer;
   readonly arrivedAt: number;
   /** Instant at which the caller or the route gives up, ms. */
--- a/src/gateway/fleetDuties.ts
+++ b/src/gateway/fleetDuties.ts
@@ -61,12 +61,12 @@
 
   /** A request of a workspace began to run `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void {
-    this.counts.note(workspace, agoMs);
+    this.counts.record(workspace, agoMs);
   }
 
   /** Another process has counted so. */
   onTold(process: string, window: WindowCounts): void {
-    this.ledger.tell(process, window);
+    this.ledger.record(process, window);
   }
 
   /** A holder that was just connected to knows nothing of this process. */
@@ -84,7 +84,7 @@
     const { service } = this;
     const { placement } = this.options;
     if (service === undefined) return;
-    const news = this.counts.takeNews();
+    const news = this.counts.takeChanges();
     if (placement.isHolder(service)) {
       for (const window of this.counts.all()) this.onTold(this.process, window);
     } else if (news.length > 0) {
--- a/src/gateway/gatewayServer.ts
+++ b/src/gateway/gatewayServer.ts
@@ -17,7 +17,7 @@
 import type { RouteTable } from "./routeTable.js";
 import type { CallerLimits, InboundHead, Route } from "./types.js";
 import { checkKey } from "../workspaces/index.js";
-import type { KeyBounds, KeyClaim } from "../workspaces/index.js";
+import type { KeyBounds, CallerIdentity } from "../workspaces/index.js";
 
 /** Room for headers beyond what the configuration allows callers, bytes. */
 const MAX_HEADER_BYTES = 64 * 1024;
@@ -54,7 +54,7 @@
 interface Way {
   route: Route;
   service: string;
-  claim: KeyClaim;
+  claim: CallerIdentity;
 }
 
 const failure = (
--- a/src/gateway/keyProof.ts
+++ b/src/gateway/keyProof.ts
@@ -6,7 +6,7 @@
  */
 import type { SharedPlacement } from "../placement/index.js";
 import type { Supervisor } from "../tasks/index.js";
-import { oldestProofMs } from "../workspaces/index.js";
+import { maxProofAgeMs } from "../workspaces/index.js";
 import type { KeyBounds } from "../workspaces/index.js";
 import type { GatewayState } from "./gatewayState.js";
 
@@ -27,7 +27,7 @@
     private readonly placement: SharedPlacement,
     bounds: KeyBounds,
   ) {
-    this.askAfterMs = oldestProofMs(bounds) * ASK_PART;
+    this.askAfterMs = maxProofAgeMs(bounds) * ASK_PART;
   }
 
   start(supervisor: Supervisor): void {
--- a/src/gateway/retryBudgets.ts
+++ b/src/gateway/retryBudgets.ts
@@ -51,8 +51,8 @@
     const { requests, further } = this.countsOf(service);
     const now = this.now();
     const stock = burst / Math.max(LEAST_ENTRIES, this.entries() ?? 0);
-    const allowed = requests.atLeast(now) * ratio * USED_PART + stock;
-    if (further.atMost(now) + 1 > allowed) return false;
+    const allowed = requests.lowerBound(now) * ratio * USED_PART + stock;
+    if (further.upperBound(now) + 1 > allowed) return false;
     further.add(1, now);
     return true;
   }
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -3,7 +3,7 @@
  * entry that reaches replicas without a side: see docs/PLATFORM.md.
  */
 import type { Stage } from "../scheduling/index.js";
-import type { KeyClaim, Workspace } from "../workspaces/index.js";
+import type { CallerIdentity, Workspace } from "../workspaces/index.js";
 
 export const ROUTE_KINDS = ["safe", "unsafe", "stream"] as const;
 
@@ -162,7 +162,7 @@
   /** Only the replica of this name may take it. */
   replicaName: string;
   /** For whom it runs: replicas get a workspace's name, and no key. */
-  claim: KeyClaim;
+  claim: CallerIdentity;
   deadlineMs: number;
   /** `read`: the prompt alone; `run`: the answer. */
   phase: "read" | "run";
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,4 +1,4 @@
-export { Membership, restoreMember } from "./membership.js";
+export { Membership, parseMember } from "./membership.js";
 export type { Member, MemberKind, MemberState } from "./membership.js";
-export { RankedView } from "./rankedView.js";
-export { rankedFor } from "./ranking.js";
+export { RankingCache } from "./rankingCache.js";
+export { rankMembers } from "./ranking.js";
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -49,7 +49,7 @@
 }
 
 /** Checks a rumour where it enters; undefined where it makes no sense. */
-export const restoreMember = (raw: RawRumour): Member | undefined => {
+export const parseMember = (raw: RawRumour): Member | undefined => {
   const { id, kind, state } = raw;
   if (id === "" || !isKind(kind) || !isState(state)) return undefined;
   return { ...raw, kind, state };
@@ -144,12 +144,12 @@
   }
 
   /** News of members, from a peer or from the VM list. */
-  hear(members: Member[], now: number): void {
+  merge(members: Member[], now: number): void {
     for (const member of members) this.hearOne(member, now);
   }
 
   /** A peer did not answer: it becomes suspect, not gone. */
-  silent(id: string, now: number): void {
+  markSuspect(id: string, now: number): void {
     const known = this.members.get(id);
     if (known === undefined || known.state !== "alive") return;
     this.hearOne({ ...known, state: "suspect" }, now);
--- a/src/membership/ranking.ts
+++ b/src/membership/ranking.ts
@@ -6,7 +6,7 @@
 import type { Member } from "./membership.js";
 
 /** The `count` members that rank first for a topic. */
-export const rankedFor = (
+export const rankMembers = (
   topic: string,
   members: readonly Member[],
   count: number,
--- a/src/membership/rankedView.ts
+++ b/src/membership/rankingCache.ts
@@ -4,9 +4,9 @@
  * for several a second.
  */
 import type { Member, Membership } from "./membership.js";
-import { rankedFor } from "./ranking.js";
+import { rankMembers } from "./ranking.js";
 
-export class RankedView {
+export class RankingCache {
   private hash = -1;
   private readonly ranked = new Map<string, Set<string>>();
 
@@ -28,7 +28,7 @@
 
   private rank(topic: string, count: number): Set<string> {
     const members = this.membership.all().filter(this.takesPart);
-    const first = rankedFor(topic, members, count);
+    const first = rankMembers(topic, members, count);
     const ids = new Set(first.map((member) => member.id));
     this.ranked.set(topic, ids);
     return ids;
--- a/src/operator/views/viewEngines.ts
+++ b/src/operator/views/viewEngines.ts
@@ -1,5 +1,5 @@
 import type { Service, Upstream } from "../../config/index.js";
-import { isOpen } from "../../control/index.js";
+import { isOrderPending } from "../../control/index.js";
 import type { ControlRecord, UpstreamStatus } from "../../control/index.js";
 import type { Row } from "../../query/index.js";
 import { restoreReport } from "../../side/sideReport.js";
@@ -27,7 +27,9 @@
   if (desired === undefined) return "";
   const { seq, action } = desired.order;
   const value = "value" in action ? ` ${action.value}` : "";
-  const phase = isOpen(desired, status) ? "open" : (status?.phase ?? "");
+  const phase = isOrderPending(desired, status)
+    ? "open"
+    : (status?.phase ?? "");
   return `${seq} ${action.kind}${value} ${phase}`;
 };
 
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -9,7 +9,7 @@
   FetchConfigReply,
   FetchConfigRequest,
 } from "../gen/snowgate.js";
-import { restoreMember } from "../membership/index.js";
+import { parseMember } from "../membership/index.js";
 import type { Member, Membership } from "../membership/index.js";
 import type { Rng } from "../shared/rng.js";
 import { errText } from "../shared/utils.js";
@@ -119,7 +119,7 @@
     const { membership, link, now } = this.options;
     try {
       const { members } = await link.fetchMembers(address);
-      membership.hear(restoreAll(members), now());
+      membership.merge(restoreAll(members), now());
     } catch (err) {
       this.note("members not fetched", err);
     }
@@ -161,7 +161,7 @@
       }
       await this.compare(reply, target.peerAddress);
     } catch (err) {
-      if (target.id !== undefined) membership.silent(target.id, now());
+      if (target.id !== undefined) membership.markSuspect(target.id, now());
       this.note("peer silent", err);
     }
   }
@@ -192,7 +192,7 @@
 
   private absorb(digest: Digest): void {
     const { membership, now } = this.options;
-    membership.hear(restoreAll(digest.rumours), now());
+    membership.merge(restoreAll(digest.rumours), now());
   }
 
   private digest(): Digest {
@@ -219,5 +219,5 @@
   }
 }
 
-const restoreAll = (raw: Parameters<typeof restoreMember>[0][]): Member[] =>
-  raw.map(restoreMember).filter((item) => item !== undefined);
+const restoreAll = (raw: Parameters<typeof parseMember>[0][]): Member[] =>
+  raw.map(parseMember).filter((item) => item !== undefined);
--- a/src/placement/leaseKeeper.ts
+++ b/src/placement/leaseKeeper.ts
@@ -6,11 +6,11 @@
 import { z } from "zod/v4";
 
 import {
-  isHolding,
-  leaseStep,
-  leaseWritten,
+  isLeaseHeld,
+  nextLeaseStep,
+  leaseAfterWrite,
   NO_LEASE,
-  seeLease,
+  observeLease,
 } from "../control/leaseState.js";
 import type { LeaseState } from "../control/leaseState.js";
 import { ABSENT, fromPosition } from "../store/index.js";
@@ -91,7 +91,7 @@
   /** Whether orders may be given now. */
   get isFresh(): boolean {
     const { self, leaseMs, leaseNow } = this.options;
-    return isHolding(this.state, self, leaseMs, leaseNow());
+    return isLeaseHeld(this.state, self, leaseMs, leaseNow());
   }
 
   get epoch(): number {
@@ -124,7 +124,7 @@
     const lease = { ...stored, beat: told.beat };
     this.stored = lease;
     const { self, now } = this.options;
-    this.state = seeLease(this.state, lease, self, now());
+    this.state = observeLease(this.state, lease, self, now());
   }
 
   /** What this process wrote last as the holder; undefined for others. */
@@ -145,7 +145,7 @@
     if (this.mustRead || !this.isHolder) await this.read();
     const next = this.isOwnLeftover
       ? "take"
-      : leaseStep(this.state, self, leaseMs, now(), leaseNow());
+      : nextLeaseStep(this.state, self, leaseMs, now(), leaseNow());
     switch (next) {
       case "wait":
         return;
@@ -195,7 +195,7 @@
     const pace = parsed.data?.pace;
     if (pace !== undefined && !wasHolder) this.options.onPace(pace);
     const hasOtherEpoch = before?.epoch !== parsed.data?.epoch;
-    this.state = seeLease(this.state, parsed.data ?? null, self, now());
+    this.state = observeLease(this.state, parsed.data ?? null, self, now());
     if (hasOtherEpoch) {
       this.lookingSince = now();
       this.state = { ...this.state, sentAt: undefined };
@@ -221,7 +221,7 @@
         this.stored = lease;
         this.highestEpoch = epoch;
         this.revision = result.item.revision;
-        this.state = leaseWritten(lease, sentAt.now, sentAt.leaseNow);
+        this.state = leaseAfterWrite(lease, sentAt.now, sentAt.leaseNow);
         if (isNew) log.info("lease taken", { service, epoch });
         return;
       }
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -8,7 +8,7 @@
  */
 import { LRUCache } from "lru-cache";
 
-import { FadingSum } from "../shared/fadingSum.js";
+import { DecayingSum } from "../shared/decayingSum.js";
 import type { Rng } from "../shared/rng.js";
 import { PermitBucket } from "./permitBucket.js";
 import { PermitSlots } from "./permitSlots.js";
@@ -50,7 +50,7 @@
   wasSole: boolean;
   /** When it kept a request back last. */
   heldBackAt: number;
-  refusals: FadingSum;
+  refusals: DecayingSum;
 }
 
 /** What one answer says of the limit of its replica. */
@@ -194,7 +194,7 @@
       slots: new PermitSlots(this.rng(), now),
       wasSole: true,
       heldBackAt: -Infinity,
-      refusals: new FadingSum(REFUSALS_MS),
+      refusals: new DecayingSum(REFUSALS_MS),
     };
   }
 
--- a/src/roles/demand.ts
+++ b/src/roles/demand.ts
@@ -6,7 +6,7 @@
   outputTokens: number;
 }
 
-export interface Demand {
+export interface TokenRates {
   counters: TokenCounters;
   at: number;
   prefillPerSecond: number;
@@ -18,11 +18,11 @@
 const MS = 1000;
 
 /** The rates after a new reading; counters that shrank start again. */
-export const nextDemand = (
-  before: Demand | undefined,
+export const updateTokenRates = (
+  before: TokenRates | undefined,
   counters: TokenCounters,
   now: number,
-): Demand => {
+): TokenRates => {
   if (
     before === undefined ||
     counters.prefillTokens < before.counters.prefillTokens
--- a/src/roles/index.ts
+++ b/src/roles/index.ts
@@ -1,4 +1,4 @@
-export { nextDemand } from "./demand.js";
-export type { Demand, TokenCounters } from "./demand.js";
+export { updateTokenRates } from "./demand.js";
+export type { TokenRates, TokenCounters } from "./demand.js";
 export { planRole, servedShare } from "./rolePlan.js";
-export type { EngineReport, RolePlan, RoleQuestion } from "./rolePlan.js";
+export type { EngineReport, RolePlan, RolePlanInput } from "./rolePlan.js";
--- a/src/roles/rolePlan.ts
+++ b/src/roles/rolePlan.ts
@@ -13,7 +13,7 @@
   upstream: string;
   role: Role;
   /** False while it drains, changes or can't be reached. */
-  isOpen: boolean;
+  isAvailable: boolean;
   /** Prompt tokens asked of it in a second, smoothed. */
   prefillPerSecond: number;
   /** Output tokens asked of it in a second, smoothed. */
@@ -22,13 +22,13 @@
   ageMs: number;
 }
 
-export interface RoleQuestion {
+export interface RolePlanInput {
   service: Service;
   engines: EngineReport[];
   /** Since the last change of the service, ms; Infinity: never. */
   sinceChangeMs: number;
   /** How long a change takes an engine away, ms. */
-  awayMs: number;
+  roleChangeMs: number;
 }
 
 export type RolePlan =
@@ -46,7 +46,7 @@
   decode: number;
 }
 
-const demandOf = ({ service, engines }: RoleQuestion): Demand => {
+const demandOf = ({ service, engines }: RolePlanInput): Demand => {
   const { capacity } = service;
   const prefill = engines.reduce((sum, item) => sum + item.prefillPerSecond, 0);
   const decode = engines.reduce((sum, item) => sum + item.decodePerSecond, 0);
@@ -85,13 +85,13 @@
 
 const percent = (share: number): string => `${(share * 100).toFixed(1)}%`;
 
-const obstacle = (question: RoleQuestion): string | undefined => {
+const obstacle = (question: RolePlanInput): string | undefined => {
   const { service, engines, sinceChangeMs } = question;
   const { dwellMs, automatic } = service.roles;
   if (service.kind !== "model") return "a plain service has no roles";
   if (!automatic) return "roles are left to operators";
   if (sinceChangeMs < dwellMs) return "the last change is too recent";
-  const away = engines.find((item) => !item.isOpen);
+  const away = engines.find((item) => !item.isAvailable);
   if (away !== undefined) return `${away.upstream} is away`;
   const stale = engines.find((item) => item.ageMs > STALE_MS);
   if (stale !== undefined) return `news of ${stale.upstream} is stale`;
@@ -100,15 +100,15 @@
 };
 
 /** Plans at most one change. */
-export const planRole = (question: RoleQuestion): RolePlan => {
+export const planRole = (question: RolePlanInput): RolePlan => {
   const why = obstacle(question);
   if (why !== undefined) return { kind: "keep", why };
-  const { service, engines, awayMs } = question;
+  const { service, engines, roleChangeMs } = question;
   const { changeCost, horizonMs, mixedFloor } = service.roles;
   const counts = countsOf(engines);
   const demand = demandOf(question);
   const now = servedShare(counts, demand);
-  const lostWhileAway = awayMs / horizonMs / Math.max(1, engines.length);
+  const lostWhileAway = roleChangeMs / horizonMs / Math.max(1, engines.length);
   let best: { from: Role; to: Role; gain: number } | undefined;
   for (const from of ROLES) {
     if (counts[from] === 0) continue;
--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -81,7 +81,7 @@
   health.ejections > 0 && health.ejectedUntil <= now;
 
 /** 0 to 1: how much work a returning upstream may be given. */
-export const warmth = (health: Health, now: number): number => {
+export const warmUpFraction = (health: Health, now: number): number => {
   if (health.returnedAt === 0) return 1;
   return Math.min(1, (now - health.returnedAt) / WARM_UP_MS);
 };
--- a/src/routing/policies.ts
+++ b/src/routing/policies.ts
@@ -43,7 +43,9 @@
   const wait = waitMs(candidate.work, capacity, role);
   const run = serviceMs(own, candidate.work, capacity, role, paceMs);
   const fixed = REQUEST_MS * (1 + candidate.work.active);
-  return (fixed + wait + run) / Math.max(LEAST_WARMTH, candidate.warmth);
+  return (
+    (fixed + wait + run) / Math.max(LEAST_WARMTH, candidate.warmUpFraction)
+  );
 };
 
 /** Time that reading what is not cached takes an engine, ms. */
--- a/src/routing/prefixes.ts
+++ b/src/routing/prefixes.ts
@@ -45,7 +45,7 @@
   });
 
   /** Learns that an upstream was sent a prompt. */
-  learn(upstream: string, prefixes: readonly string[]): void {
+  add(upstream: string, prefixes: readonly string[]): void {
     for (const prefix of prefixes) {
       const known = this.holders.get(prefix) ?? [];
       if (known[0] === upstream) continue;
@@ -55,7 +55,7 @@
   }
 
   /** Takes back what was learnt of a prompt that was not read after all. */
-  unlearn(upstream: string, prefixes: readonly string[]): void {
+  remove(upstream: string, prefixes: readonly string[]): void {
     for (const prefix of prefixes) {
       const known = this.holders.get(prefix);
       if (known === undefined) continue;
@@ -67,14 +67,14 @@
   }
 
   /** The prefixes that an upstream is not known to hold. */
-  unknownTo(upstream: string, prefixes: readonly string[]): string[] {
+  missingFrom(upstream: string, prefixes: readonly string[]): string[] {
     return prefixes.filter(
       (prefix) => !this.holders.get(prefix)?.includes(upstream),
     );
   }
 
   /** Forgets all of an upstream: it crashed or changed its role. */
-  forget(upstream: string): void {
+  removeUpstream(upstream: string): void {
     for (const [prefix, ids] of this.holders.entries()) {
       if (!ids.includes(upstream)) continue;
       const rest = ids.filter((id) => id !== upstream);
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -13,10 +13,10 @@
   afterSuccess,
   isEjected,
   needsProbe,
-  warmth,
+  warmUpFraction,
 } from "./health.js";
-import { expectedWork, newKnown, roleOf } from "./known.js";
-import type { Known } from "./known.js";
+import { expectedWork, newUpstreamState, roleOf } from "./upstreamState.js";
+import type { UpstreamState } from "./upstreamState.js";
 import { BLOCK_TOKENS, PrefixIndex } from "./prefixes.js";
 import { rankedUpstreams, upstreamsById } from "./ranking.js";
 import type {
@@ -38,7 +38,7 @@
 const LEAVING_MS = 10_000;
 
 export class Router {
-  private readonly known = new Map<string, Known>();
+  private readonly known = new Map<string, UpstreamState>();
   private readonly prefixIndex = new PrefixIndex();
 
   constructor(
@@ -61,7 +61,7 @@
 
   /**
    * A request was sent. Returns the prefixes that are thought to be cached
-   * there because of it: `onNotRead` takes them back.
+   * there because of it: `onPromptNotCached` takes them back.
    */
   onSent(upstream: string, request: RouteRequest, now: number): string[] {
     const known = this.of(upstream);
@@ -69,8 +69,8 @@
     known.sentCount += 1;
     const cached = this.prefixIndex.match(request.prefixes).get(upstream) ?? 0;
     known.sentTokens += Math.max(0, request.promptTokens - cached);
-    const fresh = this.prefixIndex.unknownTo(upstream, request.prefixes);
-    this.prefixIndex.learn(upstream, request.prefixes);
+    const fresh = this.prefixIndex.missingFrom(upstream, request.prefixes);
+    this.prefixIndex.add(upstream, request.prefixes);
     if (needsProbe(known.health, now)) {
       known.health = afterProbeSent(known.health, now);
     }
@@ -78,8 +78,8 @@
   }
 
   /** The request was refused or lost: its prompt was not read there. */
-  onNotRead(upstream: string, prefixes: readonly string[]): void {
-    this.prefixIndex.unlearn(upstream, prefixes);
+  onPromptNotCached(upstream: string, prefixes: readonly string[]): void {
+    this.prefixIndex.remove(upstream, prefixes);
   }
 
   /** A request ended, well or not. */
@@ -99,7 +99,7 @@
   onFailure(upstream: string, now: number, isUnreachable: boolean): void {
     const known = this.of(upstream);
     known.health = afterFailure(known.health, now, isUnreachable);
-    if (isUnreachable) this.prefixIndex.forget(upstream);
+    if (isUnreachable) this.prefixIndex.removeUpstream(upstream);
   }
 
   /** The side refused before it wrote. */
@@ -117,9 +117,9 @@
   onMember({ id, state, role }: Member, now: number): void {
     const known = this.of(id);
     known.isLeaving = state === "leaving";
-    known.toldRole = ROLES.find((item) => item === role);
-    if (known.toldRole && known.report) {
-      known.report = { ...known.report, role: known.toldRole };
+    known.announcedRole = ROLES.find((item) => item === role);
+    if (known.announcedRole && known.report) {
+      known.report = { ...known.report, role: known.announcedRole };
     }
     if (state === "alive")
       known.refusedUntil = Math.min(now, known.refusedUntil);
@@ -129,7 +129,7 @@
   onReport(upstream: string, report: LoadReport, now: number): void {
     const known = this.of(upstream);
     const isNewRole = known.report && known.report.role !== report.role;
-    if (isNewRole) this.prefixIndex.forget(upstream);
+    if (isNewRole) this.prefixIndex.removeUpstream(upstream);
     known.report = report;
     known.reportAt = now;
     known.sentTokens = 0;
@@ -141,14 +141,14 @@
     for (const id of this.known.keys()) {
       if (ids.has(id)) continue;
       this.known.delete(id);
-      this.prefixIndex.forget(id);
+      this.prefixIndex.removeUpstream(id);
     }
   }
 
-  private of(id: string): Known {
+  private of(id: string): UpstreamState {
     const known = this.known.get(id);
     if (known !== undefined) return known;
-    const fresh = newKnown();
+    const fresh = newUpstreamState();
     this.known.set(id, fresh);
     return fresh;
   }
@@ -277,7 +277,7 @@
       work: expectedWork(known, service.capacity, role, now),
       ownInFlight: known.ownInFlight,
       cachedTokens: matches.get(upstream.id) ?? 0,
-      warmth: warmth(known.health, now),
+      warmUpFraction: warmUpFraction(known.health, now),
     };
   }
 }
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -48,7 +48,7 @@
   /** Prompt tokens expected in its cache. */
   cachedTokens: number;
   /** 0 to 1: how far a returning upstream has been warmed up. */
-  warmth: number;
+  warmUpFraction: number;
 }
 
 /** Why a candidate was chosen, for `explain`. */
--- a/src/routing/known.ts
+++ b/src/routing/upstreamState.ts
@@ -9,13 +9,13 @@
 const MS = 1000;
 /** Old news counts less and less, or an upstream that was full once and is
  * asked no more would look full for ever; ms to a third. */
-const REPORT_FADES_MS = 2000;
+const REPORT_DECAY_MS = 2000;
 
 /** The role by the newest news; mixed where there is none. */
-export const roleOf = (known: Known): Role =>
-  known.report?.role ?? known.toldRole ?? "mixed";
+export const roleOf = (known: UpstreamState): Role =>
+  known.report?.role ?? known.announcedRole ?? "mixed";
 
-export interface Known {
+export interface UpstreamState {
   report: LoadReport | undefined;
   reportAt: number;
   /** This entry's sends since the last report: prompt tokens. */
@@ -26,12 +26,12 @@
   /** Instant until which it said to stay away, ms. */
   refusedUntil: number;
   /** The role that its side told its peers. */
-  toldRole: Role | undefined;
+  announcedRole: Role | undefined;
   /** Its VM is leaving: no new work until it comes back as a new process. */
   isLeaving: boolean;
 }
 
-export const newKnown = (): Known => ({
+export const newUpstreamState = (): UpstreamState => ({
   report: undefined,
   reportAt: 0,
   sentTokens: 0,
@@ -39,13 +39,13 @@
   ownInFlight: 0,
   health: HEALTHY,
   refusedUntil: 0,
-  toldRole: undefined,
+  announcedRole: undefined,
   isLeaving: false,
 });
 
 /** The reported work, aged, with what this entry has sent since. */
 export const expectedWork = (
-  known: Known,
+  known: UpstreamState,
   capacity: Capacity,
   role: Role,
   now: number,
@@ -53,7 +53,7 @@
   const age = Math.max(0, now - known.reportAt);
   const drained = (age * prefillRate(capacity, role)) / MS;
   const reported = known.report?.prefillTokens ?? 0;
-  const faded = Math.exp(-age / REPORT_FADES_MS);
+  const faded = Math.exp(-age / REPORT_DECAY_MS);
   const active = (known.report?.active ?? 0) * faded + known.sentCount;
   return {
     prefillTokens: Math.max(0, reported + known.sentTokens - drained),
--- a/src/scheduling/placedRequests.ts
+++ b/src/scheduling/placedRequests.ts
@@ -4,7 +4,7 @@
  */
 import { LRUCache } from "lru-cache";
 
-import { FadingSum } from "../shared/fadingSum.js";
+import { DecayingSum } from "../shared/decayingSum.js";
 import { RunningMean } from "../shared/runningMean.js";
 import { AnswerLengths } from "./answerLengths.js";
 import { LONGEST_CLOSE_MS } from "./engineState.js";
@@ -51,7 +51,7 @@
 export class PlacedRequests {
   private readonly placed = new Map<string, Placed>();
   private readonly firstEvent = new RunningMean(FIRST_EVENT_GAIN);
-  private readonly runEnds = new FadingSum(RATE_MEMORY_MS);
+  private readonly runEnds = new DecayingSum(RATE_MEMORY_MS);
   readonly runPace = new RunPace();
   /** By route. */
   private readonly lengths = new LRUCache<string, AnswerLengths>({
--- a/src/scheduling/runPace.ts
+++ b/src/scheduling/runPace.ts
@@ -1,13 +1,13 @@
 /** How long runs of one service take by their tokens. Pure; times are ms. */
-import { FadingSum } from "../shared/fadingSum.js";
+import { DecayingSum } from "../shared/decayingSum.js";
 
 /** Time constant of the pace, ms: longer than the longest runs. */
 const MEMORY_MS = 20_000;
 
 export class RunPace {
   /** Time that ended runs took from grant to end, and their tokens. */
-  private readonly runMs = new FadingSum(MEMORY_MS);
-  private readonly tokens = new FadingSum(MEMORY_MS);
+  private readonly runMs = new DecayingSum(MEMORY_MS);
+  private readonly tokens = new DecayingSum(MEMORY_MS);
 
   observe(outputTokens: number, tookMs: number, now: number): void {
     this.runMs.add(tookMs, now);
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -6,7 +6,7 @@
  */
 import { NO_LIMITS } from "../rateLimits/index.js";
 import type { EnginePermits } from "../rateLimits/index.js";
-import { FadingSum } from "../shared/fadingSum.js";
+import { DecayingSum } from "../shared/decayingSum.js";
 import { RunningMean } from "../shared/runningMean.js";
 import { EnginePool } from "./enginePool.js";
 import type { EngineState } from "./engineState.js";
@@ -102,7 +102,7 @@
   /** Mean time to read the prompts that were asked for, ms. */
   private readonly meanReadMs = new RunningMean(MEAN_READ_GAIN);
   /** Urgent reading that was given out, ms. */
-  private readonly urgentMs = new FadingSum(RATE_MEMORY_MS);
+  private readonly urgentMs = new DecayingSum(RATE_MEMORY_MS);
   readonly asked: SchedulerLoad = { ...NO_LOAD };
   readonly pace = new ReadPace();
   private readonly engines: EnginePool;
--- a/src/shared/fadingSum.ts
+++ b/src/shared/decayingSum.ts
@@ -1,5 +1,5 @@
 /** A sum whose parts fade with time, for rates. Pure; times are ms. */
-export class FadingSum {
+export class DecayingSum {
   private sum = 0;
   private at = 0;
 
--- a/src/shared/slidingCount.ts
+++ b/src/shared/slidingCount.ts
@@ -21,12 +21,12 @@
   }
 
   /** What came in the last window, and perhaps a slot more. */
-  atMost(now: number): number {
+  upperBound(now: number): number {
     return this.sumSince(this.slotAt(now) - SLOTS);
   }
 
   /** What came in the last window, perhaps but for a slot. */
-  atLeast(now: number): number {
+  lowerBound(now: number): number {
     return this.sumSince(this.slotAt(now) - SLOTS + 1);
   }
 
--- a/src/side/dataServer.ts
+++ b/src/side/dataServer.ts
@@ -170,14 +170,14 @@
 
   private onClosed(request: SideRequest): void {
     this.waiting.delete(request.id);
-    this.options.admission.leave(request.id);
+    this.options.admission.remove(request.id);
     this.options.cache.unlearn(request.unread);
     this.options.gate.onWorkEnded();
     this.letIn();
   }
 
   private letIn(): void {
-    const { admitted, expired } = this.options.admission.release(
+    const { admitted, expired } = this.options.admission.admitWaiting(
       this.options.now(),
     );
     for (const id of expired) {
--- a/src/side/orderExecutor.ts
+++ b/src/side/orderExecutor.ts
@@ -7,7 +7,7 @@
  * sends inside a window after that write, by its monotonic clock. A side
  * that was paused past the window writes again, and finds its claim gone.
  */
-import { isOpen } from "../control/index.js";
+import { isOrderPending } from "../control/index.js";
 import type {
   ControlStore,
   Desired,
@@ -91,7 +91,7 @@
     const desired = record.value.desired[upstream];
     this.applyDrain(desired);
     if (desired !== undefined) {
-      if (isOpen(desired, this.status?.value)) {
+      if (isOrderPending(desired, this.status?.value)) {
         await this.carryOut(desired.order);
       } else {
         await this.restoreRole(desired);
--- a/src/workspaces/configFreshness.ts
+++ b/src/workspaces/configFreshness.ts
@@ -12,7 +12,7 @@
  * ms, so that an answer without changes proves only what was before. Origin:
  * the platform's page on how a store forgets its history.
  */
-export const DEAF_WATCH_MS = 1000;
+export const MAX_WATCH_LAG_MS = 1000;
 
 /**
  * The instant of which an answer tells. The store looked at the earliest
--- a/src/workspaces/index.ts
+++ b/src/workspaces/index.ts
@@ -1,7 +1,11 @@
-export { ConfigFreshness, DEAF_WATCH_MS, provenAt } from "./configFreshness.js";
+export {
+  ConfigFreshness,
+  MAX_WATCH_LAG_MS,
+  provenAt,
+} from "./configFreshness.js";
 export type { ConfigNews } from "./configFreshness.js";
-export { checkKey, oldestProofMs } from "./keyCheck.js";
-export type { KeyBounds, KeyClaim, KeyVerdict } from "./keyCheck.js";
+export { checkKey, maxProofAgeMs } from "./keyCheck.js";
+export type { KeyBounds, CallerIdentity, KeyCheckResult } from "./keyCheck.js";
 export { keyDigest, Keyring } from "./keyring.js";
 export type { Workspace } from "./keyring.js";
 export { UsageCounts, UsageLedger } from "./usageCounts.js";
--- a/src/workspaces/keyCheck.ts
+++ b/src/workspaces/keyCheck.ts
@@ -6,7 +6,7 @@
  * process that can't know it yet.
  */
 import type { RequestFailure } from "../shared/errors.js";
-import { DEAF_WATCH_MS } from "./configFreshness.js";
+import { MAX_WATCH_LAG_MS } from "./configFreshness.js";
 import type { Keyring, Workspace } from "./keyring.js";
 
 /** Bounds on how old a process's knowledge of keys may be, ms. */
@@ -21,12 +21,12 @@
  * For whom a request runs. `open`: the configuration has no workspaces, and
  * heads pass as they are; `public`: its route needs no key.
  */
-export type KeyClaim =
+export type CallerIdentity =
   | { kind: "open" }
   | { kind: "public" }
   | { kind: "workspace"; workspace: Workspace };
 
-export interface KeyAsk {
+export interface KeyCheckInput {
   /** Undefined where the configuration has no workspaces. */
   keyring: Keyring | undefined;
   isPublic: boolean;
@@ -37,8 +37,8 @@
   bounds: KeyBounds;
 }
 
-export type KeyVerdict =
-  | { kind: "allowed"; claim: KeyClaim }
+export type KeyCheckResult =
+  | { kind: "allowed"; claim: CallerIdentity }
   | { kind: "refused"; failure: RequestFailure };
 
 /**
@@ -63,22 +63,25 @@
 };
 
 /** Oldest proof by which keyed requests are served, ms. */
-export const oldestProofMs = ({ revokeMs }: KeyBounds): number =>
-  revokeMs - DEAF_WATCH_MS;
+export const maxProofAgeMs = ({ revokeMs }: KeyBounds): number =>
+  revokeMs - MAX_WATCH_LAG_MS;
 
-export const checkKey = (ask: KeyAsk): KeyVerdict => {
+export const checkKey = (ask: KeyCheckInput): KeyCheckResult => {
   const { keyring, isPublic, digest, proofAgeMs, bounds } = ask;
   if (keyring === undefined) return allowed({ kind: "open" });
   if (isPublic) return allowed({ kind: "public" });
-  if (proofAgeMs > oldestProofMs(bounds)) return refused(STALE);
+  if (proofAgeMs > maxProofAgeMs(bounds)) return refused(STALE);
   const workspace = keyring.find(digest);
   if (workspace !== undefined) return allowed({ kind: "workspace", workspace });
   return refused(proofAgeMs > bounds.applyMs ? STALE : UNKNOWN);
 };
 
-const allowed = (claim: KeyClaim): KeyVerdict => ({ kind: "allowed", claim });
+const allowed = (claim: CallerIdentity): KeyCheckResult => ({
+  kind: "allowed",
+  claim,
+});
 
-const refused = (failure: RequestFailure): KeyVerdict => ({
+const refused = (failure: RequestFailure): KeyCheckResult => ({
   kind: "refused",
   failure,
 });
--- a/src/workspaces/usageCounts.ts
+++ b/src/workspaces/usageCounts.ts
@@ -42,7 +42,7 @@
   ) {}
 
   /** A request of a workspace began to run `agoMs` ago. */
-  note(workspace: string, agoMs = 0): void {
+  record(workspace: string, agoMs = 0): void {
     const seq = windowAt(this.wallNow() - agoMs, this.bounds.windowMs);
     const counts = this.windows.get(seq) ?? {};
     counts[workspace] = (counts[workspace] ?? 0) + 1;
@@ -56,7 +56,7 @@
   }
 
   /** What has changed since the last call. */
-  takeNews(): WindowCounts[] {
+  takeChanges(): WindowCounts[] {
     this.prune();
     const news = [...this.untold].flatMap((seq) => {
       const counts = this.windows.get(seq);
@@ -80,7 +80,7 @@
   private readonly windows = new Map<number, Map<string, Counts>>();
 
   /** Replaces what that life of a process told of the window before. */
-  tell(process: string, { seq, counts }: WindowCounts): void {
+  record(process: string, { seq, counts }: WindowCounts): void {
     const known = this.windows.get(seq) ?? new Map<string, Counts>();
     known.set(process, counts);
     this.windows.set(seq, known);
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -204,9 +204,9 @@
       fc.property(fc.array(fc.nat({ max: 30 }), LONG), (ids) => {
         const admission = new Admission(limits);
         for (const id of ids) {
-          if (id % 3 === 0) admission.leave(`r${id}`);
+          if (id % 3 === 0) admission.remove(`r${id}`);
           else admission.arrive(arrival(`r${id}`), 0);
-          admission.release(0);
+          admission.admitWaiting(0);
           expect(admission.inFlight).to.be.at.most(4);
         }
       }),
@@ -219,13 +219,13 @@
     fill(admission);
     admission.arrive(arrival("ordinary"), 0);
     admission.arrive(arrival("urgent", { urgency: "urgent" }), 10);
-    admission.leave("f0");
-    expect(admission.release(20).admitted).to.deep.equal(["urgent"]);
+    admission.remove("f0");
+    expect(admission.admitWaiting(20).admitted).to.deep.equal(["urgent"]);
     for (let at = 0; at < 5; at += 1) {
       admission.arrive(arrival(`u${at}`, { urgency: "urgent" }), 2500);
     }
-    admission.leave("f1");
-    expect(admission.release(2500).admitted).to.deep.equal(["ordinary"]);
+    admission.remove("f1");
+    expect(admission.admitWaiting(2500).admitted).to.deep.equal(["ordinary"]);
   });
 
   it("shares among workspaces, however many one of them sends", () => {
@@ -235,8 +235,8 @@
       admission.arrive(arrival(`greedy${at}`, { workspace: "greedy" }), 0);
     }
     admission.arrive(arrival("modest", { workspace: "modest" }), 1);
-    for (let at = 0; at < 4; at += 1) admission.leave(`f${at}`);
-    expect(admission.release(2).admitted).to.include("modest");
+    for (let at = 0; at < 4; at += 1) admission.remove(`f${at}`);
+    expect(admission.admitWaiting(2).admitted).to.include("modest");
   });
 
   it("refuses at once what can't make its deadline, and says when", () => {
@@ -414,7 +414,7 @@
     Array.from({ length: 8 }, (_item, at) => ({
       upstream: `e${at}`,
       role: "mixed",
-      isOpen: true,
+      isAvailable: true,
       prefillPerSecond: prefill,
       decodePerSecond: decode,
       ageMs: 100,
@@ -424,7 +424,7 @@
     service: service(8),
     engines: engines(10_000, 100),
     sinceChangeMs: Infinity,
-    awayMs: 5000,
+    roleChangeMs: 5000,
     ...more,
   });
 
@@ -447,7 +447,12 @@
     ],
     [
       "an engine is away",
-      { engines: engines(10_000, 100).map((e) => ({ ...e, isOpen: false })) },
+      {
+        engines: engines(10_000, 100).map((e) => ({
+          ...e,
+          isAvailable: false,
+        })),
+      },
     ],
   ];
   for (const [why, more] of KEPT) {
@@ -477,7 +482,7 @@
       (_item, at) => new Membership(member(`m${at}`)),
     );
     for (const one of all)
-      one.hear(
+      one.merge(
         all.map((item) => item.self),
         0,
       );
@@ -489,8 +494,8 @@
       for (const one of all) {
         for (const peer of one.pickPeers(2, rng)) {
           const other = all.find((item) => item.self.id === peer.id);
-          other?.hear(one.takeRumours(), rounds);
-          one.hear(other?.takeRumours() ?? [], rounds);
+          other?.merge(one.takeRumours(), rounds);
+          one.merge(other?.takeRumours() ?? [], rounds);
         }
       }
       expect(rounds).to.be.at.most(12);
@@ -499,8 +504,8 @@
 
   it("suspects a silent member before it counts it as gone", () => {
     const one = new Membership(member("a"));
-    one.hear([member("b")], 0);
-    one.silent("b", 0);
+    one.merge([member("b")], 0);
+    one.markSuspect("b", 0);
     expect(one.get("b")?.state).to.equal("suspect");
     one.tick(1000);
     expect(one.get("b")?.state).to.equal("suspect");
@@ -510,7 +515,7 @@
 
   it("refutes a false suspicion of itself", () => {
     const one = new Membership(member("a"));
-    one.hear([{ ...member("a"), state: "suspect" }], 0);
+    one.merge([{ ...member("a"), state: "suspect" }], 0);
     expect(one.self.state).to.equal("alive");
     expect(one.self.incarnation).to.equal(2);
   });
--- a/tests/promises/authority.test.ts
+++ b/tests/promises/authority.test.ts
@@ -3,11 +3,11 @@
 
 import {
   ControlStore,
-  isHolding,
-  leaseStep,
-  leaseWritten,
+  isLeaseHeld,
+  nextLeaseStep,
+  leaseAfterWrite,
   NO_LEASE,
-  seeLease,
+  observeLease,
 } from "../../src/control/index.js";
 import type { Lease, LeaseState } from "../../src/control/index.js";
 import { configSchema } from "../../src/config/index.js";
@@ -123,14 +123,14 @@
             const process_ = all[who] as Process;
             if (kind === "read") {
               process_.read = stored;
-              process_.state = seeLease(
+              process_.state = observeLease(
                 process_.state,
                 stored.lease,
                 self,
                 now,
               );
             } else if (process_.read !== undefined) {
-              const step = leaseStep(process_.state, self, LEASE_MS, now);
+              const step = nextLeaseStep(process_.state, self, LEASE_MS, now);
               const { lease, version } = process_.read;
               process_.read = undefined;
               if (step === "wait") continue;
@@ -141,11 +141,11 @@
               if (version !== stored.version) continue;
               stored = { lease: next, version: version + 1 };
               if (kind === "write") {
-                process_.state = leaseWritten(next, now);
+                process_.state = leaseAfterWrite(next, now);
               }
             }
             const holders = all.filter(({ state }, index) =>
-              isHolding(state, `p${index}`, LEASE_MS, now),
+              isLeaseHeld(state, `p${index}`, LEASE_MS, now),
             );
             expect(holders.length).to.be.at.most(1);
           }
--- a/tests/workspaces/keys.test.ts
+++ b/tests/workspaces/keys.test.ts
@@ -5,13 +5,13 @@
 import {
   checkKey,
   ConfigFreshness,
-  DEAF_WATCH_MS,
+  MAX_WATCH_LAG_MS,
   keyDigest,
   Keyring,
-  oldestProofMs,
+  maxProofAgeMs,
   provenAt,
 } from "../../src/workspaces/index.js";
-import type { KeyVerdict } from "../../src/workspaces/index.js";
+import type { KeyCheckResult } from "../../src/workspaces/index.js";
 
 const BOUNDS = { revokeMs: 5000, applyMs: 3000 };
 const LARGE = {
@@ -27,7 +27,7 @@
 const KEYRING = new Keyring([LARGE, SMALL]);
 
 /** What a verdict says, in a word or a status. */
-const said = (verdict: KeyVerdict): string | number => {
+const said = (verdict: KeyCheckResult): string | number => {
   if (verdict.kind === "refused") return verdict.failure.status;
   const { claim } = verdict;
   return claim.kind === "workspace" ? claim.workspace.name : claim.kind;
@@ -171,12 +171,12 @@
     // The key goes at 1,000; the watch is deaf for the longest time and says
     // at its end that nothing has changed.
     const freshness = new ConfigFreshness();
-    const sentAt = 1000 + DEAF_WATCH_MS - 2500;
-    const answeredAt = 1000 + DEAF_WATCH_MS;
+    const sentAt = 1000 + MAX_WATCH_LAG_MS - 2500;
+    const answeredAt = 1000 + MAX_WATCH_LAG_MS;
     freshness.prove(
       provenAt({ sentAt, answeredAt, waitMs: 2500, hasChanges: false }),
     );
-    const lastServedAt = answeredAt + oldestProofMs(BOUNDS);
+    const lastServedAt = answeredAt + maxProofAgeMs(BOUNDS);
     const isServed = (now: number): boolean =>
       checkKey({
         keyring: KEYRING,
--- a/tests/workspaces/usage.test.ts
+++ b/tests/workspaces/usage.test.ts
@@ -109,9 +109,9 @@
 
   it("comes once a window, in order, in time, for all processes", async () => {
     const { reporter, ledger } = world.reporter("a", () => 3);
-    ledger.tell("p-1", { seq: first, counts: { large: 4, small: 1 } });
-    ledger.tell("p-2", { seq: first, counts: { large: 2 } });
-    ledger.tell("p-2", { seq: first, counts: { large: 5 } });
+    ledger.record("p-1", { seq: first, counts: { large: 4, small: 1 } });
+    ledger.record("p-2", { seq: first, counts: { large: 2 } });
+    ledger.record("p-2", { seq: first, counts: { large: 5 } });
     await world.run(reporter, 30_000);
     expect(world.reported).to.deep.equal([200, 201, 202, 203, 204]);
     expect(world.calls[0]).to.deep.equal({
@@ -124,7 +124,7 @@
 
   it("is not sent anew where the store has forgotten the last ones", async () => {
     const { reporter, ledger } = world.reporter("a", () => 3);
-    ledger.tell("p-1", { seq: first, counts: { large: 4 } });
+    ledger.record("p-1", { seq: first, counts: { large: 4 } });
     const before = world.store.item;
     await world.run(reporter, 20_000);
     const sent = world.reported;
@@ -140,10 +140,10 @@
 
   it("is sent again as it was until it is taken", async () => {
     const { reporter, ledger } = world.reporter("a", () => 3);
-    ledger.tell("p-1", { seq: first, counts: { large: 4 } });
+    ledger.record("p-1", { seq: first, counts: { large: 4 } });
     world.answer = { kind: "failed", why: "status 429" };
     await world.run(reporter, 9500);
-    ledger.tell("p-1", { seq: first, counts: { large: 5 } });
+    ledger.record("p-1", { seq: first, counts: { large: 5 } });
     world.answer = { kind: "taken" };
     await world.run(reporter, 1000);
     expect(world.calls.length).to.be.greaterThan(1);
@@ -158,12 +158,12 @@
   it("a new holder repeats the last one as it was, and goes on", async () => {
     let isHolder = true;
     const before = world.reporter("a", () => (isHolder ? 3 : undefined));
-    before.ledger.tell("p-1", { seq: first, counts: { large: 4 } });
+    before.ledger.record("p-1", { seq: first, counts: { large: 4 } });
     await world.run(before.reporter, 9000);
     isHolder = false;
     const after = world.reporter("b", () => 4);
-    after.ledger.tell("p-1", { seq: first, counts: { large: 3 } });
-    after.ledger.tell("p-1", { seq: 201, counts: { large: 7 } });
+    after.ledger.record("p-1", { seq: first, counts: { large: 3 } });
+    after.ledger.record("p-1", { seq: 201, counts: { large: 7 } });
     await world.run(after.reporter, 5000);
     await before.reporter.step();
     const told = world.calls.map(({ windowSeq, counts, fence }) => {
@@ -178,10 +178,10 @@
 
   it("that was written without an answer is sent as it was written", async () => {
     const { reporter, ledger } = world.reporter("a", () => 3);
-    ledger.tell("p-1", { seq: first, counts: { large: 4 } });
+    ledger.record("p-1", { seq: first, counts: { large: 4 } });
     world.store.next = "lost";
     await world.run(reporter, 8300);
-    ledger.tell("p-1", { seq: first, counts: { large: 6 } });
+    ledger.record("p-1", { seq: first, counts: { large: 6 } });
     world.store.next = "written";
     await world.run(reporter, 1500);
     expect(world.calls[0]?.counts).to.deep.equal({ large: 4 });
@@ -219,9 +219,9 @@
   it("belong to the window in which a request began", () => {
     const now = 1_001_000;
     const counts = new UsageCounts(WINDOWS, () => now);
-    counts.note("large", 0);
-    counts.note("large", 1500);
-    counts.note("small", 500);
+    counts.record("large", 0);
+    counts.record("large", 1500);
+    counts.record("small", 500);
     expect(counts.all()).to.deep.equal([
       { seq: 200, counts: { large: 1, small: 1 } },
       { seq: 199, counts: { large: 1 } },
@@ -231,16 +231,16 @@
   it("are told whole, and only where they have changed", () => {
     let now = 1_001_000;
     const counts = new UsageCounts(WINDOWS, () => now);
-    counts.note("large");
-    expect(counts.takeNews()).to.have.length(1);
-    expect(counts.takeNews()).to.deep.equal([]);
-    counts.note("large");
-    expect(counts.takeNews()).to.deep.equal([
+    counts.record("large");
+    expect(counts.takeChanges()).to.have.length(1);
+    expect(counts.takeChanges()).to.deep.equal([]);
+    counts.record("large");
+    expect(counts.takeChanges()).to.deep.equal([
       { seq: 200, counts: { large: 2 } },
     ]);
     now += 60_000;
-    counts.note("large");
-    counts.takeNews();
+    counts.record("large");
+    counts.takeChanges();
     expect(counts.all().map(({ seq }) => seq)).to.deep.equal([212]);
   });
 });
