--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -1,18 +1,18 @@
 /**
- * Ejection of a failing upstream and its return. Pure: the state and an
- * event in, the next state out.
+ * Ejects failing upstreams and readmits them after a successful probe. All
+ * functions are pure: they map a state and an event to the next state.
  */
 
 export interface Health {
-  /** Failures since the last success. */
+  /** Consecutive failures since the last success. */
   failures: number;
-  /** Instant until which it gets no work, ms; 0: not ejected. */
+  /** Time until which the upstream gets no requests, ms; 0 if not ejected. */
   ejectedUntil: number;
-  /** Times it was ejected in a row; makes the next ejection longer. */
+  /** Consecutive ejections; each one doubles the length of the next. */
   ejections: number;
-  /** Instant at which it came back, ms; 0: never away. */
+  /** Time of the last readmission, ms; 0 if never ejected. */
   returnedAt: number;
-  /** Whether one request is out as a probe. */
+  /** Whether a probe request is in flight. */
   probing: boolean;
 }
 
@@ -25,62 +25,62 @@
 };
 
 const FAILURES_TO_EJECT = 3;
-const FIRST_EJECTION_MS = 1000;
-const LONGEST_EJECTION_MS = 30_000;
+const INITIAL_EJECTION_MS = 1000;
+const MAX_EJECTION_MS = 30_000;
 const WARM_UP_MS = 10_000;
 
-/** A request failed in a way that speaks against the upstream. */
+/** The state after a failure for which the upstream is to blame. */
 export const afterFailure = (
   health: Health,
   now: number,
   isUnreachable: boolean,
 ): Health => {
   const failures = health.failures + 1;
-  // Requests that were out when it was ejected fail too, and so may one that
-  // found no other: they are no reason to keep it away for longer.
+  // Requests that were in flight at the ejection may fail too, as may requests
+  // sent here because every upstream was ejected. Neither extends the ejection.
   if (isEjected(health, now) && !health.probing) return health;
-  const isOver =
+  const shouldEject =
     isUnreachable || health.probing || failures >= FAILURES_TO_EJECT;
-  if (!isOver) return { ...health, failures };
-  const pause = Math.min(
-    LONGEST_EJECTION_MS,
-    FIRST_EJECTION_MS * 2 ** health.ejections,
+  if (!shouldEject) return { ...health, failures };
+  const ejectionMs = Math.min(
+    MAX_EJECTION_MS,
+    INITIAL_EJECTION_MS * 2 ** health.ejections,
   );
   return {
     failures,
-    ejectedUntil: now + pause,
+    ejectedUntil: now + ejectionMs,
     ejections: health.ejections + 1,
     returnedAt: 0,
     probing: false,
   };
 };
 
-/** A request succeeded. */
+/** The state after a successful request. */
 export const afterSuccess = (health: Health, now: number): Health => {
   if (health.failures === 0 && !health.probing) return health;
-  const wasAway = health.ejections > 0;
+  const wasEjected = health.ejections > 0;
   return {
     ...HEALTHY,
-    returnedAt: wasAway ? now : health.returnedAt,
+    returnedAt: wasEjected ? now : health.returnedAt,
   };
 };
 
-/** The probe went out. */
+/** The state after a probe was sent. */
 export const afterProbeSent = (health: Health, now: number): Health => ({
   ...health,
   probing: true,
-  // The next probe may go only once this one has had its time.
-  ejectedUntil: now + FIRST_EJECTION_MS,
+  // No further probe is sent until this one has had time to finish.
+  ejectedUntil: now + INITIAL_EJECTION_MS,
 });
 
 export const isEjected = (health: Health, now: number): boolean =>
   health.ejectedUntil > now;
 
-/** Whether the next request to it is a probe. */
+/** Whether the next request to the upstream serves as a probe. */
 export const needsProbe = (health: Health, now: number): boolean =>
   health.ejections > 0 && health.ejectedUntil <= now;
 
-/** 0 to 1: how much work a returning upstream may be given. */
+/** Share of its normal load that a readmitted upstream may get, 0 to 1. */
 export const warmUpFraction = (health: Health, now: number): number => {
   if (health.returnedAt === 0) return 1;
   return Math.min(1, (now - health.returnedAt) / WARM_UP_MS);
--- a/src/routing/loadModel.ts
+++ b/src/routing/loadModel.ts
@@ -1,31 +1,32 @@
 /**
- * How long a model engine is expected to need, from its declared rates and
- * the work it has. Entries choose by it, sides refuse by it.
+ * Estimates how long a request takes on a model engine from the engine's
+ * declared rates and its current work. Entries use the estimates to choose an
+ * upstream, sides to refuse requests that would miss their deadline.
  */
 import type { Role, Service } from "../config/index.js";
 
-/** Declared rates of a service's engines. */
+/** Declared rates and limits of a service's engines. */
 export type Capacity = Service["capacity"];
 
-/** Work that one upstream has, as its side counts it. */
+/** Current work of one upstream as counted by its side. */
 export interface UpstreamWork {
-  /** Prompt tokens handed over or queued and not read yet. */
+  /** Prompt tokens of queued or running requests that are still to be read. */
   prefillTokens: number;
-  /** Requests handed over. */
+  /** Requests that the upstream is running. */
   active: number;
-  /** Requests that wait at the side. */
+  /** Requests that wait in the side's queue. */
   queued: number;
 }
 
-/** What one request asks of an engine. */
+/** Work that one request causes on an engine. */
 export interface RequestWork {
   /** Prompt tokens that are not in the engine's cache. */
   prefillTokens: number;
-  /** Output tokens that it may produce. */
+  /** Maximum output tokens. */
   outputTokens: number;
 }
 
-/** Rate of a role against a mixed engine, by kind of work. */
+/** Speed of each role relative to a mixed engine, by kind of work. */
 const ROLE_SPEED = {
   mixed: { prefill: 1, decode: 1 },
   prefill: { prefill: 1.3, decode: 0.5 },
@@ -34,39 +35,39 @@
 
 const MS = 1000;
 
-/** Prompt tokens a second for a role. */
+/** Prompt tokens per second that an engine of a role reads. */
 export const prefillRate = (capacity: Capacity, role: Role): number =>
   capacity.prefillTokensPerSecond * ROLE_SPEED[role].prefill;
 
-/** Output tokens a second of one sequence for a role. */
+/** Output tokens per second of one sequence on an engine of a role. */
 export const decodeRate = (capacity: Capacity, role: Role): number =>
   capacity.decodeTokensPerSecond * ROLE_SPEED[role].decode;
 
-/** Time until work that is already there lets a new request start, ms. */
+/** Estimated time that a new request waits for the existing work, ms. */
 export const waitMs = (
   work: UpstreamWork,
   capacity: Capacity,
   role: Role,
 ): number => {
   const prefill = (work.prefillTokens / prefillRate(capacity, role)) * MS;
-  const over = Math.max(0, work.active + work.queued - capacity.maxSequences);
-  const slot = (over / capacity.maxSequences) * MS;
-  return prefill + slot;
+  const excess = Math.max(0, work.active + work.queued - capacity.maxSequences);
+  const slotWait = (excess / capacity.maxSequences) * MS;
+  return prefill + slotWait;
 };
 
-/** Time between two tokens, from the declared rate, ms. */
+/** Time between two output tokens at the declared rate, ms. */
 const declaredPaceMs = (
   work: UpstreamWork,
   capacity: Capacity,
   role: Role,
 ): number => {
-  const share = Math.min(1, work.active / capacity.maxSequences);
-  return (MS / decodeRate(capacity, role)) * (1 + share);
+  const occupancy = Math.min(1, work.active / capacity.maxSequences);
+  return (MS / decodeRate(capacity, role)) * (1 + occupancy);
 };
 
 /**
- * Time that the request itself needs once it starts, ms. `paceMs` is the
- * measured time between two tokens; 0 takes the declared one.
+ * Estimated run time of a request once it starts, ms. `paceMs` is the measured
+ * time between two output tokens; 0 falls back to the declared rate.
  */
 export const serviceMs = (
   request: RequestWork,
--- a/src/routing/policies.ts
+++ b/src/routing/policies.ts
@@ -1,4 +1,4 @@
-/** The routing policy in use, and the baselines it is measured against. */
+/** The default routing policy and the baselines that it is compared with. */
 import type { Rng } from "../shared/rng.js";
 import { prefillRate, serviceMs, waitMs } from "./loadModel.js";
 import type {
@@ -17,18 +17,20 @@
 
 export type PolicyName = (typeof POLICY_NAMES)[number];
 
-/** Fixed cost of a request and of each one beside it, ms: without it the
- * estimates of plain services would all be zero and the first would win. */
+/**
+ * Fixed cost of a request and of each active one, ms. Without it, estimates
+ * for plain services would all be zero and the first upstream would always win.
+ */
 const REQUEST_MS = 1;
-/** Spread put on equal estimates, so that entries do not herd. */
+/** Maximum relative jitter on a score, so that entries don't all pick the same upstream. */
 const JITTER = 0.1;
-/** Weight of the fleet's cost against the request's own time. */
-const FLEET_WEIGHT = 3;
+/** Weight of the prefill time taken from other requests. */
+const PREFILL_COST_WEIGHT = 3;
 const MS = 1000;
-/** Least warmth that counts, so that a cold upstream still gets work. */
-const LEAST_WARMTH = 0.2;
+/** Lower bound, so that a readmitted upstream still gets requests. */
+const MIN_WARM_UP_FRACTION = 0.2;
 
-/** Expected time to the end of the answer on one candidate, ms. */
+/** Estimated time until the candidate finishes the response, ms. */
 export const expectedMs = (
   candidate: Candidate,
   request: RouteRequest,
@@ -44,18 +46,19 @@
   const run = serviceMs(own, candidate.work, capacity, role, paceMs);
   const fixed = REQUEST_MS * (1 + candidate.work.active);
   return (
-    (fixed + wait + run) / Math.max(LEAST_WARMTH, candidate.warmUpFraction)
+    (fixed + wait + run) /
+    Math.max(MIN_WARM_UP_FRACTION, candidate.warmUpFraction)
   );
 };
 
-/** Time that reading what is not cached takes an engine, ms. */
-const readingMs = (candidate: Candidate, request: RouteRequest): number => {
+/** Estimated time to read the uncached part of the prompt, ms. */
+const prefillMs = (candidate: Candidate, request: RouteRequest): number => {
   const { capacity } = request.service;
-  const unread = Math.max(0, request.promptTokens - candidate.cachedTokens);
-  return (unread / prefillRate(capacity, candidate.role)) * MS;
+  const uncached = Math.max(0, request.promptTokens - candidate.cachedTokens);
+  return (uncached / prefillRate(capacity, candidate.role)) * MS;
 };
 
-const chosen = (
+const choiceOf = (
   candidate: Candidate | undefined,
   request: RouteRequest,
   considered: { id: string; expectedMs: number }[],
@@ -70,9 +73,9 @@
 };
 
 /**
- * Least expected finish time plus what the choice costs the fleet: a prompt
- * that is read anew takes its engine away from others as well. With a small
- * random spread.
+ * Picks the lowest expected finish time plus weighted prefill time, with a small
+ * jitter. The prefill term accounts for the delay to other requests: an engine
+ * that reads an uncached prompt is not available to them.
  */
 export class ExpectedFinishPolicy implements RoutingPolicy {
   readonly name = "expected-finish";
@@ -86,17 +89,17 @@
     for (const candidate of candidates) {
       const expected = expectedMs(candidate, request);
       considered.push({ id: candidate.upstream.id, expectedMs: expected });
-      const cost = FLEET_WEIGHT * readingMs(candidate, request);
+      const cost = PREFILL_COST_WEIGHT * prefillMs(candidate, request);
       const score = (expected + cost) * (1 + JITTER * this.rng());
       if (score >= bestScore) continue;
       best = candidate;
       bestScore = score;
     }
-    return chosen(best, request, considered);
+    return choiceOf(best, request, considered);
   }
 }
 
-/** Baseline: fewest requests of this entry in flight. */
+/** Baseline: picks the upstream with the fewest in-flight requests of this entry. */
 export class LeastInFlightPolicy implements RoutingPolicy {
   readonly name = "least-in-flight";
 
@@ -112,11 +115,11 @@
         best = item;
       }
     }
-    return chosen(best, request, []);
+    return choiceOf(best, request, []);
   }
 }
 
-/** Baseline: each in turn. */
+/** Baseline: picks the candidates in turn. */
 export class RoundRobinPolicy implements RoutingPolicy {
   readonly name = "round-robin";
   private next = 0;
@@ -124,11 +127,11 @@
   pick(candidates: Candidate[], request: RouteRequest): Choice | undefined {
     const item = candidates[this.next % Math.max(1, candidates.length)];
     this.next += 1;
-    return chosen(item, request, []);
+    return choiceOf(item, request, []);
   }
 }
 
-/** Baseline: any. */
+/** Baseline: picks a candidate at random. */
 export class RandomPolicy implements RoutingPolicy {
   readonly name = "random";
 
@@ -136,7 +139,7 @@
 
   pick(candidates: Candidate[], request: RouteRequest): Choice | undefined {
     const at = Math.floor(this.rng() * candidates.length);
-    return chosen(candidates[at], request, []);
+    return choiceOf(candidates[at], request, []);
   }
 }
 
--- a/src/routing/prefixes.ts
+++ b/src/routing/prefixes.ts
@@ -1,15 +1,15 @@
 /**
  * Prompt prefixes: a prompt's blocks are hashed into a chain, and an index
- * remembers which upstreams were sent each prefix lately.
+ * stores which upstreams were recently sent each prefix.
  */
 import { LRUCache } from "lru-cache";
 import xxhash from "xxhash-wasm";
 
-/** Characters of a block; about 256 tokens. */
+/** Characters per block; about 256 tokens. */
 export const BLOCK_CHARS = 1024;
-/** Characters that make a token, on average. */
+/** Average characters per token. */
 export const CHARS_PER_TOKEN = 4;
-/** Tokens of a block. */
+/** Tokens per block. */
 export const BLOCK_TOKENS = BLOCK_CHARS / CHARS_PER_TOKEN;
 const MAX_BLOCKS = 64;
 const MAX_HOLDERS = 4;
@@ -17,11 +17,11 @@
 
 const { h64ToString } = await xxhash();
 
-/** Estimated tokens of a text. */
+/** Estimates the number of tokens in a text. */
 export const estimateTokens = (text: string): number =>
   Math.ceil(text.length / CHARS_PER_TOKEN);
 
-/** Hashes of the growing prefixes of a prompt, shortest first. */
+/** Hashes of a prompt's prefixes of 1, 2, ... blocks, shortest first. */
 export const prefixChain = (scope: string, prompt: string): string[] => {
   const chain: string[] = [];
   const blocks = Math.min(MAX_BLOCKS, Math.floor(prompt.length / BLOCK_CHARS));
@@ -35,16 +35,16 @@
   return chain;
 };
 
-/** Hash of a text, for rendezvous hashing. */
+/** Hashes a text for rendezvous hashing. */
 export const hashText = (text: string): string => h64ToString(text);
 
-/** Which upstreams are thought to hold which prefixes. */
+/** Maps each prefix to the upstreams that probably have it cached. */
 export class PrefixIndex {
   private readonly holders = new LRUCache<string, string[]>({
     max: MAX_PREFIXES,
   });
 
-  /** Learns that an upstream was sent a prompt. */
+  /** Records that an upstream was sent a prompt with these prefixes. */
   add(upstream: string, prefixes: readonly string[]): void {
     for (const prefix of prefixes) {
       const known = this.holders.get(prefix) ?? [];
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Takes back what was learnt of a prompt that was not read after all. */
+  /** Removes the prefixes of a prompt that the upstream did not read after all. */
   remove(upstream: string, prefixes: readonly string[]): void {
     for (const prefix of prefixes) {
       const known = this.holders.get(prefix);
@@ -66,14 +66,14 @@
     }
   }
 
-  /** The prefixes that an upstream is not known to hold. */
+  /** Returns the prefixes that are not recorded for an upstream. */
   missingFrom(upstream: string, prefixes: readonly string[]): string[] {
     return prefixes.filter(
       (prefix) => !this.holders.get(prefix)?.includes(upstream),
     );
   }
 
-  /** Forgets all of an upstream: it crashed or changed its role. */
+  /** Removes an upstream from all prefixes, after a crash or a role change. */
   removeUpstream(upstream: string): void {
     for (const [prefix, ids] of this.holders.entries()) {
       if (!ids.includes(upstream)) continue;
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Cached tokens by upstream, for those that hold some of the prompt. */
+  /** Estimated cached tokens by upstream, for upstreams with a matching prefix. */
   match(prefixes: readonly string[]): Map<string, number> {
     const found = new Map<string, number>();
     for (let index = prefixes.length - 1; index >= 0; index -= 1) {
--- a/src/routing/ranking.ts
+++ b/src/routing/ranking.ts
@@ -1,15 +1,15 @@
 /**
- * Rendezvous ranking of a service's upstreams for a prompt: every entry ranks
- * alike without talking. Rankings are kept by service object, which a new
- * configuration replaces.
+ * Ranks a service's upstreams for a prompt by rendezvous hashing, so that all
+ * entries compute the same ranking without communication. Rankings are cached
+ * by service object, which a new configuration replaces.
  */
 import { LRUCache } from "lru-cache";
 
 import type { Service, Upstream } from "../config/index.js";
 import { hashText } from "./prefixes.js";
 
-/** Ranks that are kept; later ones are never asked for. */
-const KEPT_RANKS = 4;
+/** Ranked upstreams kept per prompt; no caller uses later ranks. */
+const MAX_RANKED = 4;
 const MAX_PROMPTS = 20_000;
 
 interface ServiceIndex {
@@ -19,9 +19,9 @@
 
 const indexes = new WeakMap<Service, ServiceIndex>();
 
-const indexOf = (service: Service): ServiceIndex => {
-  const known = indexes.get(service);
-  if (known !== undefined) return known;
+const indexFor = (service: Service): ServiceIndex => {
+  const cached = indexes.get(service);
+  if (cached !== undefined) return cached;
   const fresh: ServiceIndex = {
     byId: new Map(service.upstreams.map((item) => [item.id, item])),
     ranked: new LRUCache({ max: MAX_PROMPTS }),
@@ -31,20 +31,20 @@
 };
 
 export const upstreamsById = (service: Service): Map<string, Upstream> =>
-  indexOf(service).byId;
+  indexFor(service).byId;
 
-/** The upstreams that rank first for a prompt's first prefix. */
+/** Returns the top-ranked upstreams for a prompt's first prefix. */
 export const rankedUpstreams = (
   service: Service,
   prefix: string,
 ): Upstream[] => {
-  const { ranked } = indexOf(service);
-  const known = ranked.get(prefix);
-  if (known !== undefined) return known;
+  const { ranked } = indexFor(service);
+  const cached = ranked.get(prefix);
+  if (cached !== undefined) return cached;
   const fresh = service.upstreams
     .map((upstream) => ({ upstream, rank: hashText(prefix + upstream.id) }))
     .sort((left, right) => (left.rank < right.rank ? 1 : -1))
-    .slice(0, KEPT_RANKS)
+    .slice(0, MAX_RANKED)
     .map((item) => item.upstream);
   ranked.set(prefix, fresh);
   return fresh;
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -1,7 +1,7 @@
 /**
- * Routing of one entry: which upstream a request goes to. It holds what is
- * known of each upstream and asks the policy to pick one of a few. No I/O;
- * the clock and the random source come in.
+ * Chooses the upstream for each request of an entry. Tracks the state of every
+ * upstream, selects candidates and lets the policy pick one. Performs no I/O;
+ * the current time and the random source are passed in.
  */
 import { ROLES } from "../config/index.js";
 import type { Service, Upstream } from "../config/index.js";
@@ -27,18 +27,18 @@
   RoutingPolicy,
 } from "./types.js";
 
-/** Part of a prompt that the first ranks are thought to hold unseen. */
-const RANK_PRIOR = [0.5, 0.25] as const;
+/** Share of a prompt assumed to be cached by its first and second rank. */
+const RANK_CACHE_SHARES = [0.5, 0.25] as const;
 const RANDOM_DRAWS = 3;
-/** A small fleet is looked at whole; a large one by a few candidates. */
-const LOOK_AT_ALL = 8;
-/** How long a refusal keeps an upstream out, where it names no time, ms. */
-const REFUSAL_MS = 250;
-/** How long news that an upstream leaves is believed without more, ms. */
-const LEAVING_MS = 10_000;
+/** Up to this many upstreams, all are candidates; beyond it, a sample is. */
+const MAX_FULL_SCAN = 8;
+/** How long a refusal without a retry time excludes an upstream, ms. */
+const DEFAULT_REFUSAL_MS = 250;
+/** How long a `leaving` reply excludes an upstream unless it is repeated, ms. */
+const LEAVING_EXCLUSION_MS = 10_000;
 
 export class Router {
-  private readonly known = new Map<string, UpstreamState>();
+  private readonly states = new Map<string, UpstreamState>();
   private readonly prefixIndex = new PrefixIndex();
 
   constructor(
@@ -46,25 +46,25 @@
     private readonly rng: Rng,
   ) {}
 
-  /** The upstream to send to, or undefined where none may be used now. */
+  /** Returns the upstream to send to, or undefined if none is usable now. */
   choose(request: RouteRequest, now: number): Choice | undefined {
     const site = this.drawSite(request, now);
     const matches = this.expectedCache(request);
-    const healthy = this.fewOf(request, matches, site, now);
-    const few =
-      healthy.length > 0 ? healthy : this.lastResort(request, site, now);
-    const candidates = few.map((upstream) =>
+    const healthy = this.selectUpstreams(request, matches, site, now);
+    const sample =
+      healthy.length > 0 ? healthy : this.fallbackUpstreams(request, site, now);
+    const candidates = sample.map((upstream) =>
       this.candidate(upstream, request.service, matches, now),
     );
     return this.policy.pick(candidates, request);
   }
 
   /**
-   * A request was sent. Returns the prefixes that are thought to be cached
-   * there because of it: `onPromptNotCached` takes them back.
+   * Records a sent request. Returns the prefixes that are newly assumed to be
+   * cached there; pass them to `onPromptNotCached` if the prompt is not read.
    */
   onSent(upstream: string, request: RouteRequest, now: number): string[] {
-    const known = this.of(upstream);
+    const known = this.stateOf(upstream);
     known.ownInFlight += 1;
     known.sentCount += 1;
     const cached = this.prefixIndex.match(request.prefixes).get(upstream) ?? 0;
@@ -77,45 +77,45 @@
     return fresh;
   }
 
-  /** The request was refused or lost: its prompt was not read there. */
+  /** The request was refused or lost, so its prompt was not read. */
   onPromptNotCached(upstream: string, prefixes: readonly string[]): void {
     this.prefixIndex.remove(upstream, prefixes);
   }
 
-  /** A request ended, well or not. */
+  /** A request ended, successfully or not. */
   onEnd(upstream: string): void {
-    const known = this.of(upstream);
+    const known = this.stateOf(upstream);
     known.ownInFlight = Math.max(0, known.ownInFlight - 1);
-    // A lost request brings no report that would take it out of the count.
+    // A lost request brings no report, so nothing else would reset the count.
     known.sentCount = Math.max(0, known.sentCount - 1);
   }
 
   onSuccess(upstream: string, now: number): void {
-    const known = this.of(upstream);
+    const known = this.stateOf(upstream);
     known.health = afterSuccess(known.health, now);
   }
 
-  /** A failure that speaks against the upstream. */
+  /** A request failed and the upstream is to blame. */
   onFailure(upstream: string, now: number, isUnreachable: boolean): void {
-    const known = this.of(upstream);
+    const known = this.stateOf(upstream);
     known.health = afterFailure(known.health, now, isUnreachable);
     if (isUnreachable) this.prefixIndex.removeUpstream(upstream);
   }
 
-  /** The side refused before it wrote. */
+  /** The side refused a request before it passed it to the upstream. */
   onRefusal(upstream: string, retryAfterMs: number, now: number): void {
-    const pause = retryAfterMs > 0 ? retryAfterMs : REFUSAL_MS;
-    this.of(upstream).refusedUntil = now + pause;
+    const pause = retryAfterMs > 0 ? retryAfterMs : DEFAULT_REFUSAL_MS;
+    this.stateOf(upstream).refusedUntil = now + pause;
   }
 
-  /** A side said that its VM is leaving. */
+  /** A side replied that its VM is leaving. */
   onLeaving(upstream: string, now: number): void {
-    this.of(upstream).refusedUntil = now + LEAVING_MS;
+    this.stateOf(upstream).refusedUntil = now + LEAVING_EXCLUSION_MS;
   }
 
-  /** News of a side from peers or the VM list. */
+  /** A side's membership changed, according to peers or the VM list. */
   onMember({ id, state, role }: Member, now: number): void {
-    const known = this.of(id);
+    const known = this.stateOf(id);
     known.isLeaving = state === "leaving";
     known.announcedRole = ROLES.find((item) => item === role);
     if (known.announcedRole && known.report) {
@@ -125,9 +125,9 @@
       known.refusedUntil = Math.min(now, known.refusedUntil);
   }
 
-  /** The load that a reply carried. */
+  /** A reply carried a load report. */
   onReport(upstream: string, report: LoadReport, now: number): void {
-    const known = this.of(upstream);
+    const known = this.stateOf(upstream);
     const isNewRole = known.report && known.report.role !== report.role;
     if (isNewRole) this.prefixIndex.removeUpstream(upstream);
     known.report = report;
@@ -136,51 +136,51 @@
     known.sentCount = 0;
   }
 
-  /** Drops what is known of upstreams that are not declared any more. */
+  /** Drops the state of upstreams that are no longer configured. */
   retain(ids: ReadonlySet<string>): void {
-    for (const id of this.known.keys()) {
+    for (const id of this.states.keys()) {
       if (ids.has(id)) continue;
-      this.known.delete(id);
+      this.states.delete(id);
       this.prefixIndex.removeUpstream(id);
     }
   }
 
-  private of(id: string): UpstreamState {
-    const known = this.known.get(id);
+  private stateOf(id: string): UpstreamState {
+    const known = this.states.get(id);
     if (known !== undefined) return known;
     const fresh = newUpstreamState();
-    this.known.set(id, fresh);
+    this.states.set(id, fresh);
     return fresh;
   }
 
   /**
-   * Prompt tokens expected in each upstream's cache. What this entry sent is
-   * known; beside it the upstreams that rank first for the prompt may hold
-   * it from other entries, which all rank alike.
+   * Estimates the prompt tokens in each upstream's cache, from the prompts that
+   * this entry sent and from the ranking: all entries compute the same ranking,
+   * so the first ranks may have cached the prompt for other entries.
    */
   private expectedCache(request: RouteRequest): Map<string, number> {
     const matches = this.prefixIndex.match(request.prefixes);
     const [first] = request.prefixes;
     if (first === undefined) return matches;
-    const shared = request.prefixes.length * BLOCK_TOKENS;
+    const promptTokens = request.prefixes.length * BLOCK_TOKENS;
     const ranked = rankedUpstreams(request.service, first);
-    RANK_PRIOR.forEach((prior, rank) => {
+    RANK_CACHE_SHARES.forEach((share, rank) => {
       const id = ranked[rank]?.id;
       if (id === undefined) return;
       const known = matches.get(id) ?? 0;
-      matches.set(id, Math.max(known, shared * prior));
+      matches.set(id, Math.max(known, promptTokens * share));
     });
     return matches;
   }
 
-  /** Whether an upstream takes work, by its own word and its role. */
+  /** Whether the upstream's reported state and role allow the request. */
   private isOpen(
     upstream: Upstream,
     { tried, phase }: RouteRequest,
     now: number,
   ): boolean {
     if (tried.has(upstream.id)) return false;
-    const known = this.of(upstream.id);
+    const known = this.stateOf(upstream.id);
     if (phase !== "whole" && roleOf(known) !== phase) return false;
     return !known.isLeaving && known.refusedUntil <= now;
   }
@@ -190,11 +190,11 @@
     request: RouteRequest,
     now: number,
   ): boolean {
-    const { health } = this.of(upstream.id);
+    const { health } = this.stateOf(upstream.id);
     return !isEjected(health, now) && this.isOpen(upstream, request, now);
   }
 
-  /** The site that a cutover's shares draw, or undefined for any. */
+  /** Draws a site by the configured traffic shares; undefined allows any. */
   private drawSite(request: RouteRequest, now: number): string | undefined {
     const { shares, upstreams } = request.service;
     if (shares === undefined) return undefined;
@@ -206,39 +206,39 @@
         ),
     );
     const total = sites.reduce((sum, [, share]) => sum + share, 0);
-    // Better the other site than nobody: a share is a wish, an answer a must.
+    // No site with a share is usable: serving from another site beats failing.
     if (total === 0) return undefined;
     let draw = this.rng() * total;
     const drawn = sites.find(([, share]) => (draw -= share) < 0) ?? sites[0];
     return drawn?.[0];
   }
 
-  /** A small fleet is looked at whole, a large one by a few candidates. */
-  private fewOf(
+  /** Usable upstreams: all of a small fleet, a sample of a large one. */
+  private selectUpstreams(
     request: RouteRequest,
     matches: Map<string, number>,
     site: string | undefined,
     now: number,
   ): Upstream[] {
     const { upstreams } = request.service;
-    const canTake = (upstream: Upstream) =>
+    const isEligible = (upstream: Upstream) =>
       (site === undefined || upstream.site === site) &&
       this.isUsable(upstream, request, now);
-    if (upstreams.length <= LOOK_AT_ALL) return upstreams.filter(canTake);
-    const few = new Set<Upstream>();
-    for (const upstream of this.preferred(request, matches)) {
-      if (canTake(upstream)) few.add(upstream);
+    if (upstreams.length <= MAX_FULL_SCAN) return upstreams.filter(isEligible);
+    const sample = new Set<Upstream>();
+    for (const upstream of this.likelyCached(request, matches)) {
+      if (isEligible(upstream)) sample.add(upstream);
     }
     for (let draw = 0; draw < RANDOM_DRAWS; draw += 1) {
       const item = upstreams[Math.floor(this.rng() * upstreams.length)];
-      if (item !== undefined && canTake(item)) few.add(item);
+      if (item !== undefined && isEligible(item)) sample.add(item);
     }
-    // Rare: all of the few are closed, so the whole list is looked through.
-    return few.size > 0 ? [...few] : upstreams.filter(canTake);
+    // Rare: none of the sample is usable, so all upstreams are checked.
+    return sample.size > 0 ? [...sample] : upstreams.filter(isEligible);
   }
 
-  /** Where every upstream is ejected, one of them is better than none. */
-  private lastResort(
+  /** Open upstreams including ejected ones, used if all usable ones are ejected. */
+  private fallbackUpstreams(
     request: RouteRequest,
     site: string | undefined,
     now: number,
@@ -249,8 +249,8 @@
     });
   }
 
-  /** Upstreams that may hold the prompt. */
-  private preferred(
+  /** Upstreams that may have the prompt cached. */
+  private likelyCached(
     request: RouteRequest,
     matches: Map<string, number>,
   ): Upstream[] {
@@ -268,7 +268,7 @@
     matches: Map<string, number>,
     now: number,
   ): Candidate {
-    const known = this.of(upstream.id);
+    const known = this.stateOf(upstream.id);
     const role = roleOf(known);
     return {
       upstream,
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,66 +1,66 @@
-/** Typed events and answers of the routing decisions. */
+/** Inputs and results of routing decisions. */
 import type { Role, Service, Upstream, Urgency } from "../config/index.js";
 import type { UpstreamWork } from "./loadModel.js";
 
 export const SIDE_STATES = ["open", "draining", "leaving", "busy"] as const;
 
-/** Whether a side takes new work, and if not, why. */
+/** Whether a side accepts new requests, and if not, why. */
 export type SideState = (typeof SIDE_STATES)[number];
 
-/** The load that a side puts on each of its replies. */
+/** The load that a side reports in a header of each reply, as JSON. */
 export interface LoadReport extends UpstreamWork {
   role: Role;
   state: SideState;
-  /** Time between two tokens of a stream lately, ms; 0 unknown. */
+  /** Smoothed time between two output tokens of a stream, ms; 0 if unknown. */
   paceMs: number;
 }
 
 /**
- * What of a request is asked for: all of it, or with two kinds of engines
- * its prompt read by one and its output produced by another.
+ * The part of a request to run: the whole of it, or, where prefill and decode
+ * run on separate engines, one of the two.
  */
 export type RoutePhase = "whole" | "prefill" | "decode";
 
-/** One request as routing sees it. */
+/** The properties of a request that routing depends on. */
 export interface RouteRequest {
   service: Service;
   phase: RoutePhase;
   urgency: Urgency;
   promptTokens: number;
   outputTokens: number;
-  /** Hashes of the prompt's growing prefixes, shortest first. */
+  /** Hashes of the prompt's prefixes, shortest first; see `prefixChain`. */
   prefixes: readonly string[];
-  /** Instant by which the answer must be whole, ms. */
+  /** Time by which the response must be complete, ms. */
   deadlineAt: number;
-  /** Upstreams that this request has tried already. */
+  /** Ids of upstreams that were already tried for this request. */
   tried: ReadonlySet<string>;
 }
 
-/** One upstream that could take the request, with what is known of it. */
+/** An upstream that can take the request, with its estimated state. */
 export interface Candidate {
   upstream: Upstream;
   work: UpstreamWork;
   role: Role;
-  /** Time between two tokens of a stream lately, ms; 0 unknown. */
+  /** Smoothed time between two output tokens of a stream, ms; 0 if unknown. */
   paceMs: number;
-  /** Requests of this entry that are in flight there. */
+  /** In-flight requests of this entry. */
   ownInFlight: number;
-  /** Prompt tokens expected in its cache. */
+  /** Prompt tokens that are probably in the upstream's cache. */
   cachedTokens: number;
-  /** 0 to 1: how far a returning upstream has been warmed up. */
+  /** Warm-up progress of a readmitted upstream, 0 to 1. */
   warmUpFraction: number;
 }
 
-/** Why a candidate was chosen, for `explain`. */
+/** The chosen upstream with the estimates behind it, shown by `explain`. */
 export interface Choice {
   upstream: Upstream;
-  /** Expected time from now to the end of the answer, ms. */
+  /** Estimated time from now to the end of the response, ms. */
   expectedMs: number;
   cachedTokens: number;
   considered: { id: string; expectedMs: number }[];
 }
 
-/** Picks one of a few candidates. */
+/** Picks one of the candidates, or undefined if there are none. */
 export interface RoutingPolicy {
   readonly name: string;
   pick(candidates: Candidate[], request: RouteRequest): Choice | undefined;
--- a/src/routing/upstreamState.ts
+++ b/src/routing/upstreamState.ts
@@ -1,4 +1,4 @@
-/** What one entry knows of one upstream, and the work it expects there. */
+/** An entry's state for one upstream, and the load estimated from it. */
 import type { Role } from "../config/index.js";
 import { HEALTHY } from "./health.js";
 import type { Health } from "./health.js";
@@ -7,27 +7,33 @@
 import type { LoadReport } from "./types.js";
 
 const MS = 1000;
-/** Old news counts less and less, or an upstream that was full once and is
- * asked no more would look full for ever; ms to a third. */
+/**
+ * Time constant of the decay of a load report, ms: after it the report counts
+ * 1/e. Without the decay, an upstream that once reported full and got no
+ * requests since would look full for ever.
+ */
 const REPORT_DECAY_MS = 2000;
 
-/** The role by the newest news; mixed where there is none. */
+/** The last known role: reported, else announced, else mixed. */
 export const roleOf = (known: UpstreamState): Role =>
   known.report?.role ?? known.announcedRole ?? "mixed";
 
 export interface UpstreamState {
+  /** Load carried by the upstream's last reply. */
   report: LoadReport | undefined;
   reportAt: number;
-  /** This entry's sends since the last report: prompt tokens. */
+  /** Uncached prompt tokens that this entry sent since the last report. */
   sentTokens: number;
+  /** Requests that this entry sent since the last report. */
   sentCount: number;
+  /** Requests of this entry that are in flight. */
   ownInFlight: number;
   health: Health;
-  /** Instant until which it said to stay away, ms. */
+  /** Time until which the side refuses new requests, ms. */
   refusedUntil: number;
-  /** The role that its side told its peers. */
+  /** The role that the side announced through gossip. */
   announcedRole: Role | undefined;
-  /** Its VM is leaving: no new work until it comes back as a new process. */
+  /** Its VM is leaving: no new requests until a new process announces itself. */
   isLeaving: boolean;
 }
 
@@ -43,7 +49,7 @@
   isLeaving: false,
 });
 
-/** The reported work, aged, with what this entry has sent since. */
+/** Estimates the current work from the aged report and this entry's own sends. */
 export const expectedWork = (
   known: UpstreamState,
   capacity: Capacity,
@@ -53,11 +59,11 @@
   const age = Math.max(0, now - known.reportAt);
   const drained = (age * prefillRate(capacity, role)) / MS;
   const reported = known.report?.prefillTokens ?? 0;
-  const faded = Math.exp(-age / REPORT_DECAY_MS);
-  const active = (known.report?.active ?? 0) * faded + known.sentCount;
+  const decay = Math.exp(-age / REPORT_DECAY_MS);
+  const active = (known.report?.active ?? 0) * decay + known.sentCount;
   return {
     prefillTokens: Math.max(0, reported + known.sentTokens - drained),
     active: Math.max(active, known.ownInFlight),
-    queued: (known.report?.queued ?? 0) * faded,
+    queued: (known.report?.queued ?? 0) * decay,
   };
 };
