--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,24 +1,24 @@
 /**
- * Admission at one side: what is handed to the upstream, in which order, and
- * what is refused at once. Pure: events in, decisions out.
+ * Admission control of one side: decides which requests are sent to the
+ * upstream, in which order, and which are refused at once. Performs no I/O.
  *
- * Order: by class of urgency first, then fair among workspaces (start-time
- * fair queueing on tokens). A request that has waited `AGE_MS` counts as
- * urgent, so that ordinary work is not starved.
+ * Requests are ordered by urgency first, then fairly among workspaces by
+ * start-time fair queueing on tokens. A request that has waited for
+ * `URGENT_AFTER_MS` counts as urgent, so that normal requests don't starve.
  */
 import { URGENCIES } from "../config/index.js";
 import type { Role, Urgency } from "../config/index.js";
 import { serviceMs, waitMs } from "../routing/loadModel.js";
 import type { Capacity, UpstreamWork } from "../routing/loadModel.js";
 
-/** A request that asks to be let in. */
+/** A request that asks for admission. */
 export interface Arrival {
   id: string;
   workspace: string;
   urgency: Urgency;
   prefillTokens: number;
   outputTokens: number;
-  /** Instant by which the answer must be whole, ms. */
+  /** Time by which the response must be complete, ms. */
   deadlineAt: number;
 }
 
@@ -27,38 +27,40 @@
   | { kind: "queued" }
   | { kind: "refused"; why: "overloaded" | "deadline"; retryAfterMs: number };
 
-/** What to do with requests that waited. */
+/** Ids of the requests that left the queue. */
 export interface AdmissionUpdate {
   admitted: string[];
-  /** Given up on: their deadline can't be met any more. */
+  /** Dropped because they can no longer meet their deadline. */
   expired: string[];
 }
 
 export interface AdmissionLimits {
   capacity: Capacity;
-  /** Requests that may wait. */
+  /** Maximum queue length, in requests. */
   maxQueued: number;
-  /** Weight of a workspace against the others. */
+  /** Fair-queueing weight of a workspace. */
   weightOf: (workspace: string) => number;
 }
 
 interface Waiting extends Arrival {
   queuedAt: number;
-  /** Start tag of fair queueing among workspaces. */
+  /** Start tag of fair queueing: the virtual time at which it may start. */
   tag: number;
 }
 
-/** Prompt tokens handed over at once, as time at the engine's rate, ms. */
-const PREFILL_AHEAD_MS = 1000;
-/** Weight of the newest stream in the smoothed pace. */
+/** Maximum unread prompt tokens at the engine, as time at its prefill rate, ms. */
+const MAX_PREFILL_BACKLOG_MS = 1000;
+/** Weight of the latest stream in the moving average of the pace. */
 const PACE_WEIGHT = 0.2;
-const AGE_MS = 2000;
-const LEAST_RETRY_MS = 50;
+/** Queueing time after which a request counts as urgent, ms. */
+const URGENT_AFTER_MS = 2000;
+/** Lower bound of the retry time in a refusal, ms. */
+const MIN_RETRY_AFTER_MS = 50;
 const MS = 1000;
 
 export class Admission {
   private readonly active = new Map<string, Arrival>();
-  private readonly reading = new Set<string>();
+  private readonly prefilling = new Set<string>();
   private waiting: Waiting[] = [];
   private virtualTime = 0;
   private readonly finishTags = new Map<string, number>();
@@ -67,7 +69,7 @@
 
   constructor(private limits: AdmissionLimits) {}
 
-  /** Tokens of all requests that were let in or queued since the start. */
+  /** Tokens of all requests admitted or queued since the process started. */
   readonly totals = { prefillTokens: 0, outputTokens: 0 };
 
   setLimits(limits: AdmissionLimits): void {
@@ -78,12 +80,12 @@
     this.role = role;
   }
 
-  /** Time between two tokens lately, ms; 0 before the first stream. */
+  /** Smoothed time between two output tokens, ms; 0 before the first stream. */
   get paceMs(): number {
     return this.pace;
   }
 
-  /** A stream ended that gave a token each `paceMs`. */
+  /** Records a finished stream that produced a token every `paceMs`. */
   observePace(paceMs: number): void {
     const isFirst = this.pace === 0;
     this.pace = isFirst
@@ -91,10 +93,10 @@
       : this.pace + PACE_WEIGHT * (paceMs - this.pace);
   }
 
-  /** Exact work of the upstream as handed over by this side. */
+  /** Exact work of this side: requests at the upstream and in the queue. */
   get work(): UpstreamWork {
     let prefillTokens = 0;
-    for (const id of this.reading) {
+    for (const id of this.prefilling) {
       prefillTokens += this.active.get(id)?.prefillTokens ?? 0;
     }
     for (const item of this.waiting) prefillTokens += item.prefillTokens;
@@ -109,89 +111,91 @@
     return this.active.size;
   }
 
+  /** Admits, queues or refuses a new request. */
   arrive(arrival: Arrival, now: number): AdmissionDecision {
     const ahead = this.workAhead(arrival);
     const { capacity } = this.limits;
     const wait = waitMs(ahead, capacity, this.role);
     const run = this.runMs(arrival, ahead);
-    const late = now + wait + run - arrival.deadlineAt;
-    if (late > 0) {
-      const retryAfterMs = Math.max(LEAST_RETRY_MS, Math.ceil(late));
+    const lateMs = now + wait + run - arrival.deadlineAt;
+    if (lateMs > 0) {
+      const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(lateMs));
       return { kind: "refused", why: "deadline", retryAfterMs };
     }
-    if (this.waiting.length === 0 && this.hasRoom(arrival)) {
-      this.count(arrival);
+    if (this.waiting.length === 0 && this.hasCapacity(arrival)) {
+      this.addToTotals(arrival);
       this.admit(arrival);
       return { kind: "admitted" };
     }
     if (this.waiting.length >= this.limits.maxQueued) {
-      const retryAfterMs = Math.max(LEAST_RETRY_MS, Math.ceil(wait));
+      const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(wait));
       return { kind: "refused", why: "overloaded", retryAfterMs };
     }
-    this.count(arrival);
+    this.addToTotals(arrival);
     this.enqueue(arrival, now);
     return { kind: "queued" };
   }
 
-  /** The upstream has read the prompt: its first output came. */
+  /** The upstream has read the prompt, as its first output shows. */
   prefillDone(id: string): void {
-    this.reading.delete(id);
+    this.prefilling.delete(id);
   }
 
-  /** A request ended, or its caller went away. */
+  /** Removes a request that ended or whose caller disconnected. */
   remove(id: string): void {
     this.active.delete(id);
-    this.reading.delete(id);
+    this.prefilling.delete(id);
     this.waiting = this.waiting.filter((item) => item.id !== id);
   }
 
-  /** Lets waiting requests in where there is room. */
+  /** Drops queued requests that would be late and admits others while there is capacity. */
   admitWaiting(now: number): AdmissionUpdate {
-    const released: AdmissionUpdate = { admitted: [], expired: [] };
+    const update: AdmissionUpdate = { admitted: [], expired: [] };
     const { work } = this;
     this.waiting = this.waiting.filter((item) => {
-      // Given up as soon as it can't be done in time, not when time is over.
+      // Dropped as soon as it can't finish in time, not only at its deadline.
       if (now + this.runMs(item, work) <= item.deadlineAt) return true;
-      released.expired.push(item.id);
+      update.expired.push(item.id);
       return false;
     });
     for (;;) {
       const next = this.nextWaiting(now);
-      if (next === undefined || !this.hasRoom(next)) return released;
+      if (next === undefined || !this.hasCapacity(next)) return update;
       this.waiting = this.waiting.filter((item) => item !== next);
       this.virtualTime = Math.max(this.virtualTime, next.tag);
       this.admit(next);
-      released.admitted.push(next.id);
+      update.admitted.push(next.id);
     }
   }
 
-  /** Refuses all that wait: the upstream goes away. */
+  /** Empties the queue, as the upstream is going away; returns the ids to refuse. */
   refuseWaiting(): string[] {
     const ids = this.waiting.map((item) => item.id);
     this.waiting = [];
     return ids;
   }
 
-  private count(arrival: Arrival): void {
+  private addToTotals(arrival: Arrival): void {
     this.totals.prefillTokens += arrival.prefillTokens;
     this.totals.outputTokens += arrival.outputTokens;
   }
 
   private admit(arrival: Arrival): void {
     this.active.set(arrival.id, arrival);
-    if (arrival.prefillTokens > 0) this.reading.add(arrival.id);
+    if (arrival.prefillTokens > 0) this.prefilling.add(arrival.id);
   }
 
-  private hasRoom(arrival: Arrival): boolean {
+  private hasCapacity(arrival: Arrival): boolean {
     const { capacity } = this.limits;
     if (this.active.size >= capacity.maxSequences) return false;
-    if (this.reading.size === 0) return true;
-    const ahead = (capacity.prefillTokensPerSecond * PREFILL_AHEAD_MS) / MS;
-    let reading = arrival.prefillTokens;
-    for (const id of this.reading) {
-      reading += this.active.get(id)?.prefillTokens ?? 0;
+    if (this.prefilling.size === 0) return true;
+    const maxTokens =
+      (capacity.prefillTokensPerSecond * MAX_PREFILL_BACKLOG_MS) / MS;
+    let prefillTokens = arrival.prefillTokens;
+    for (const id of this.prefilling) {
+      prefillTokens += this.active.get(id)?.prefillTokens ?? 0;
     }
-    return reading <= ahead;
+    return prefillTokens <= maxTokens;
   }
 
   private runMs(arrival: Arrival, work: UpstreamWork): number {
@@ -199,21 +203,21 @@
     return serviceMs(arrival, work, capacity, this.role, this.pace);
   }
 
-  /** Work that is served before the arrival. */
+  /** Work that is served before the new request. */
   private workAhead(arrival: Arrival): UpstreamWork {
     const rank = URGENCIES.indexOf(arrival.urgency);
     const all = this.work;
-    let behind = 0;
-    let behindCount = 0;
+    let laterTokens = 0;
+    let laterCount = 0;
     for (const item of this.waiting) {
       if (URGENCIES.indexOf(item.urgency) <= rank) continue;
-      behind += item.prefillTokens;
-      behindCount += 1;
+      laterTokens += item.prefillTokens;
+      laterCount += 1;
     }
     return {
-      prefillTokens: all.prefillTokens - behind,
+      prefillTokens: all.prefillTokens - laterTokens,
       active: all.active,
-      queued: all.queued - behindCount,
+      queued: all.queued - laterCount,
     };
   }
 
@@ -225,11 +229,11 @@
     const weight = this.limits.weightOf(arrival.workspace);
     this.finishTags.set(key, tag + cost / weight);
     this.waiting.push({ ...arrival, queuedAt: now, tag });
-    if (this.waiting.length === 1) this.forgetOldTags();
+    if (this.waiting.length === 1) this.pruneTags();
   }
 
-  /** Tags behind the virtual time mean nothing: keeps the map bounded. */
-  private forgetOldTags(): void {
+  /** Deletes tags laterTokens the virtual time, which have no effect, to bound the map. */
+  private pruneTags(): void {
     for (const [key, tag] of this.finishTags) {
       if (tag <= this.virtualTime) this.finishTags.delete(key);
     }
@@ -251,7 +255,7 @@
   }
 
   private rank(item: Waiting, now: number): number {
-    if (now - item.queuedAt >= AGE_MS) return 0;
+    if (now - item.queuedAt >= URGENT_AFTER_MS) return 0;
     return URGENCIES.indexOf(item.urgency);
   }
 }
--- a/src/roles/demand.ts
+++ b/src/roles/demand.ts
@@ -1,23 +1,25 @@
-/** Smoothed token rates from counters that only grow. */
+/** Smoothed token rates from monotonic counters. */
 
-/** Counters of one engine as its side reports them. */
+/** Token counters of one engine as reported by its side. */
 export interface TokenCounters {
   prefillTokens: number;
   outputTokens: number;
 }
 
+/** Smoothed rates with the reading that they were last updated from. */
 export interface TokenRates {
   counters: TokenCounters;
+  /** Time of the reading, ms. */
   at: number;
   prefillPerSecond: number;
   decodePerSecond: number;
 }
 
-/** Time over which a rate forgets, ms. */
+/** Time constant of the exponential smoothing, ms. */
 const SMOOTHING_MS = 10_000;
 const MS = 1000;
 
-/** The rates after a new reading; counters that shrank start again. */
+/** Updates the rates from a new reading; a counter reset restarts them at 0. */
 export const updateTokenRates = (
   before: TokenRates | undefined,
   counters: TokenCounters,
@@ -29,21 +31,21 @@
   ) {
     return { counters, at: now, prefillPerSecond: 0, decodePerSecond: 0 };
   }
-  const passed = now - before.at;
-  if (passed <= 0) return before;
-  const weight = 1 - Math.exp(-passed / SMOOTHING_MS);
+  const elapsedMs = now - before.at;
+  if (elapsedMs <= 0) return before;
+  const weight = 1 - Math.exp(-elapsedMs / SMOOTHING_MS);
   const rate = (later: number, earlier: number) =>
-    ((later - earlier) / passed) * MS;
-  const mix = (old: number, fresh: number) => old + weight * (fresh - old);
+    ((later - earlier) / elapsedMs) * MS;
+  const smooth = (old: number, fresh: number) => old + weight * (fresh - old);
   const { counters: old } = before;
   return {
     counters,
     at: now,
-    prefillPerSecond: mix(
+    prefillPerSecond: smooth(
       before.prefillPerSecond,
       rate(counters.prefillTokens, old.prefillTokens),
     ),
-    decodePerSecond: mix(
+    decodePerSecond: smooth(
       before.decodePerSecond,
       rate(counters.outputTokens, old.outputTokens),
     ),
--- a/src/roles/rolePlan.ts
+++ b/src/roles/rolePlan.ts
@@ -1,33 +1,33 @@
 /**
- * Whether one engine of a service should change its role. Pure. A change is
- * made only where the share of the work that the fleet can serve grows by
- * more than the declared cost of a change, over a horizon, on fresh news
- * from every engine. In doubt nothing is changed.
+ * Decides whether one engine of a service should change its role. Pure. A
+ * change is planned only if it raises the share of the demand that the fleet
+ * can serve over a horizon by more than the configured cost, and only with
+ * recent reports from every engine. In doubt all roles are kept.
  */
 import type { Role, Service } from "../config/index.js";
 import { ROLES } from "../config/index.js";
 import { decodeRate, prefillRate } from "../routing/loadModel.js";
 
-/** What the planner hears of one engine. */
+/** The planner's input for one engine. */
 export interface EngineReport {
   upstream: string;
   role: Role;
-  /** False while it drains, changes or can't be reached. */
+  /** False while the engine drains, changes its role or is unreachable. */
   isAvailable: boolean;
-  /** Prompt tokens asked of it in a second, smoothed. */
+  /** Smoothed demand, prompt tokens per second. */
   prefillPerSecond: number;
-  /** Output tokens asked of it in a second, smoothed. */
+  /** Smoothed demand, output tokens per second. */
   decodePerSecond: number;
-  /** Age of this news, ms. */
+  /** Age of this report, ms. */
   ageMs: number;
 }
 
 export interface RolePlanInput {
   service: Service;
   engines: EngineReport[];
-  /** Since the last change of the service, ms; Infinity: never. */
+  /** Time since the service's last role change, ms; Infinity if there was none. */
   sinceChangeMs: number;
-  /** How long a change takes an engine away, ms. */
+  /** How long an engine is unavailable during a role change, ms. */
   roleChangeMs: number;
 }
 
@@ -35,12 +35,12 @@
   | { kind: "keep"; why: string }
   | { kind: "change"; upstream: string; role: Role; why: string };
 
-/** News older than this is not acted on, ms. */
-const STALE_MS = 15_000;
+/** Reports older than this block any change, ms. */
+const MAX_REPORT_AGE_MS = 15_000;
 
 type Counts = Record<Role, number>;
 
-/** Work of one second, in seconds of a mixed engine. */
+/** Demand of one second, in seconds of a mixed engine's time. */
 interface Demand {
   prefill: number;
   decode: number;
@@ -63,52 +63,57 @@
   return counts;
 };
 
-const SPECIAL_SPEED = 1.3;
-const OTHER_SPEED = 0.5;
+/** Speed of a specialised engine at its own kind of work; see `ROLE_SPEED`. */
+const OWN_WORK_SPEED = 1.3;
+/** Speed of a specialised engine at the other kind of work. */
+const OTHER_WORK_SPEED = 0.5;
 
-/** Share of the demand that a fleet of these roles can serve, 0 to 1. */
+/** Share of the demand that engines with these roles can serve, 0 to 1. */
 export const servedShare = (counts: Counts, demand: Demand): number => {
   const total = demand.prefill + demand.decode;
   if (total === 0) return 1;
   let { prefill, decode } = demand;
-  const fromPrefill = Math.min(prefill, counts.prefill * SPECIAL_SPEED);
-  const fromDecode = Math.min(decode, counts.decode * SPECIAL_SPEED);
+  const fromPrefill = Math.min(prefill, counts.prefill * OWN_WORK_SPEED);
+  const fromDecode = Math.min(decode, counts.decode * OWN_WORK_SPEED);
   prefill -= fromPrefill;
   decode -= fromDecode;
-  const sparePrefill = counts.prefill - fromPrefill / SPECIAL_SPEED;
-  const spareDecode = counts.decode - fromDecode / SPECIAL_SPEED;
-  decode -= Math.min(decode, sparePrefill * OTHER_SPEED);
-  prefill -= Math.min(prefill, spareDecode * OTHER_SPEED);
-  const left = Math.max(0, prefill + decode - counts.mixed);
-  return (total - left) / total;
+  const sparePrefill = counts.prefill - fromPrefill / OWN_WORK_SPEED;
+  const spareDecode = counts.decode - fromDecode / OWN_WORK_SPEED;
+  decode -= Math.min(decode, sparePrefill * OTHER_WORK_SPEED);
+  prefill -= Math.min(prefill, spareDecode * OTHER_WORK_SPEED);
+  const unserved = Math.max(0, prefill + decode - counts.mixed);
+  return (total - unserved) / total;
 };
 
 const percent = (share: number): string => `${(share * 100).toFixed(1)}%`;
 
-const obstacle = (question: RolePlanInput): string | undefined => {
-  const { service, engines, sinceChangeMs } = question;
+const reasonToKeep = (input: RolePlanInput): string | undefined => {
+  const { service, engines, sinceChangeMs } = input;
   const { dwellMs, automatic } = service.roles;
-  if (service.kind !== "model") return "a plain service has no roles";
-  if (!automatic) return "roles are left to operators";
-  if (sinceChangeMs < dwellMs) return "the last change is too recent";
-  const away = engines.find((item) => !item.isAvailable);
-  if (away !== undefined) return `${away.upstream} is away`;
-  const stale = engines.find((item) => item.ageMs > STALE_MS);
-  if (stale !== undefined) return `news of ${stale.upstream} is stale`;
-  if (engines.length < service.upstreams.length) return "an engine is silent";
+  if (service.kind !== "model") return "plain services have no roles";
+  if (!automatic) return "automatic role changes are disabled";
+  if (sinceChangeMs < dwellMs) return "the last role change is too recent";
+  const unavailable = engines.find((item) => !item.isAvailable);
+  if (unavailable !== undefined)
+    return `${unavailable.upstream} is unavailable`;
+  const stale = engines.find((item) => item.ageMs > MAX_REPORT_AGE_MS);
+  if (stale !== undefined) return `the report of ${stale.upstream} is stale`;
+  if (engines.length < service.upstreams.length)
+    return "an engine has not reported";
   return undefined;
 };
 
-/** Plans at most one change. */
-export const planRole = (question: RolePlanInput): RolePlan => {
-  const why = obstacle(question);
+/** Plans at most one role change. */
+export const planRole = (input: RolePlanInput): RolePlan => {
+  const why = reasonToKeep(input);
   if (why !== undefined) return { kind: "keep", why };
-  const { service, engines, roleChangeMs } = question;
+  const { service, engines, roleChangeMs } = input;
   const { changeCost, horizonMs, mixedFloor } = service.roles;
   const counts = countsOf(engines);
-  const demand = demandOf(question);
-  const now = servedShare(counts, demand);
-  const lostWhileAway = roleChangeMs / horizonMs / Math.max(1, engines.length);
+  const demand = demandOf(input);
+  const currentShare = servedShare(counts, demand);
+  const unavailableShare =
+    roleChangeMs / horizonMs / Math.max(1, engines.length);
   let best: { from: Role; to: Role; gain: number } | undefined;
   for (const from of ROLES) {
     if (counts[from] === 0) continue;
@@ -117,25 +122,30 @@
       if (to === from) continue;
       const after = { ...counts, [from]: counts[from] - 1 };
       after[to] += 1;
-      const gain = servedShare(after, demand) - now - lostWhileAway;
+      const gain = servedShare(after, demand) - currentShare - unavailableShare;
       if (best === undefined || gain > best.gain) best = { from, to, gain };
     }
   }
-  const can = `the roles as they are serve ${percent(now)} of the work`;
+  const summary = `current roles serve ${percent(currentShare)} of the demand`;
   if (best === undefined || best.gain <= changeCost) {
     const gain = percent(Math.max(0, best?.gain ?? 0));
     const cost = percent(changeCost);
-    const reason = `${can}; the best change wins ${gain}, its cost is ${cost}`;
+    const reason = `${summary}; the best change gains ${gain}, a change costs ${cost}`;
     return { kind: "keep", why: reason };
   }
   const { from, to, gain } = best;
-  const idlest = engines
+  const leastLoaded = engines
     .filter((item) => item.role === from)
-    .sort((left, right) => workOf(left) - workOf(right))[0];
-  if (idlest === undefined) return { kind: "keep", why: can };
-  const reason = `${can}; ${from} to ${to} wins ${percent(gain)}`;
-  return { kind: "change", upstream: idlest.upstream, role: to, why: reason };
+    .sort((left, right) => loadOf(left) - loadOf(right))[0];
+  if (leastLoaded === undefined) return { kind: "keep", why: summary };
+  const reason = `${summary}; changing ${from} to ${to} gains ${percent(gain)}`;
+  return {
+    kind: "change",
+    upstream: leastLoaded.upstream,
+    role: to,
+    why: reason,
+  };
 };
 
-const workOf = (engine: EngineReport): number =>
+const loadOf = (engine: EngineReport): number =>
   engine.prefillPerSecond + engine.decodePerSecond;
