--- a/src/control/controlRecord.ts
+++ b/src/control/controlRecord.ts
@@ -1,4 +1,4 @@
-/** Rules of the control record: pure functions of (record, event). */
+/** State transitions of the control record, as pure functions. */
 import type { Role } from "../config/index.js";
 import type {
   ControlRecord,
@@ -9,7 +9,7 @@
   UpstreamStatus,
 } from "./types.js";
 
-/** An order that someone wants to give. */
+/** An order to be given. */
 export interface OrderRequest {
   id: string;
   upstream: string;
@@ -19,9 +19,9 @@
 
 export type OrderAnswer =
   | { kind: "accepted"; record: ControlRecord; order: Order }
-  /** An order that is open already; the asker is told which. */
+  /** Another order of the upstream is still pending; `winner` is that order. */
   | { kind: "lost"; winner: Order }
-  /** The desired state is so already. */
+  /** The order would not change the desired state. */
   | { kind: "same" };
 
 /** Whether the newest order of an upstream is not finished yet. */
@@ -48,7 +48,10 @@
   }
 };
 
-const isSame = (action: OrderAction, desired: Desired | undefined): boolean => {
+const isAlreadyDesired = (
+  action: OrderAction,
+  desired: Desired | undefined,
+): boolean => {
   const isDrained = desired?.isDrained ?? false;
   const role = desired?.role ?? "mixed";
   switch (action.kind) {
@@ -63,7 +66,7 @@
   }
 };
 
-/** Gives an order, unless one is open or nothing would change. */
+/** Adds an order to the record unless one is pending or nothing would change. */
 export const giveOrder = (
   record: ControlRecord,
   status: UpstreamStatus | undefined,
@@ -73,7 +76,7 @@
   if (before !== undefined && isOrderPending(before, status)) {
     return { kind: "lost", winner: before.order };
   }
-  if (isSame(request.action, before)) return { kind: "same" };
+  if (isAlreadyDesired(request.action, before)) return { kind: "same" };
   const order: Order = {
     seq: (before?.order.seq ?? 0) + 1,
     id: request.id,
@@ -93,7 +96,7 @@
   return { kind: "accepted", record: next, order };
 };
 
-/** The record after its lease is taken by a new holder. */
+/** Returns the record with its lease taken by a new holder. */
 export const takeLease = (
   record: ControlRecord,
   holder: string,
@@ -102,13 +105,13 @@
   return { ...record, lease: { holder, epoch, beat: 0 } };
 };
 
-/** The record after its holder renews its lease. */
+/** Returns the record with its lease renewed by the holder. */
 export const renewLease = (
   record: ControlRecord,
   lease: Lease,
 ): ControlRecord => ({ ...record, lease: { ...lease, beat: lease.beat + 1 } });
 
-/** The record after the control loop changed a role. */
+/** Returns the record with the time of a role change by the control loop. */
 export const recordRoleChange = (
   record: ControlRecord,
   wallNow: number,
--- a/src/control/controlStore.ts
+++ b/src/control/controlStore.ts
@@ -1,4 +1,4 @@
-/** Reads and conditionally updates control records and statuses. */
+/** Reads and conditionally updates stored control records and statuses. */
 import { randomUUID } from "node:crypto";
 
 import { OrderError } from "../shared/errors.js";
@@ -9,9 +9,10 @@
 import { CONTROL_KIND, EMPTY_CONTROL, STATUS_KIND } from "./types.js";
 import type { ControlRecord, UpstreamStatus } from "./types.js";
 
-const ORDER_ROUNDS = 5;
+/** Maximum attempts to write an order against concurrent writers. */
+const MAX_ORDER_ATTEMPTS = 5;
 
-/** A record with the version that an update must expect. */
+/** A value with the version that a conditional update must expect. */
 export interface Versioned<T> {
   value: T;
   version: number;
@@ -39,7 +40,7 @@
     return new Map(items.map((item) => [item.name, item.value]));
   }
 
-  /** New version, or undefined where somebody else was faster. */
+  /** Returns the new version, or undefined if another writer was faster. */
   async writeControl(
     service: string,
     record: ControlRecord,
@@ -48,6 +49,7 @@
     return this.write(CONTROL_KIND, service, record, expected);
   }
 
+  /** Returns the new version, or undefined if another writer was faster. */
   async writeStatus(
     upstream: string,
     status: UpstreamStatus,
@@ -56,12 +58,16 @@
     return this.write(STATUS_KIND, upstream, status, expected);
   }
 
-  /** Gives an operator's order; a race is decided on the newest record. */
+  /**
+   * Gives an operator's order. After a write conflict it retries on the newest
+   * record; throws OrderError after `MAX_ORDER_ATTEMPTS` conflicts.
+   */
   async order(service: string, request: OrderRequest): Promise<OrderAnswer> {
-    for (let round = 0; round < ORDER_ROUNDS; round += 1) {
+    for (let attempt = 0; attempt < MAX_ORDER_ATTEMPTS; attempt += 1) {
       const control = await this.readControl(service);
       const given = control.value.desired[request.upstream]?.order;
-      // An own write whose answer was lost and that others wrote over since.
+      // This order was written already: the reply was lost, and another writer
+      // has updated the record since.
       if (given?.id === request.id) {
         return { kind: "accepted", record: control.value, order: given };
       }
@@ -75,7 +81,9 @@
       );
       if (version !== undefined) return answer;
     }
-    throw new OrderError("too many writers; nothing was changed");
+    throw new OrderError(
+      "order not written: too many concurrent updates of the control record",
+    );
   }
 
   private async write<T>(
--- a/src/control/leaseState.ts
+++ b/src/control/leaseState.ts
@@ -1,22 +1,22 @@
 /**
- * One process's view of a service's lease, by its own monotonic clock alone.
- * A follower takes the lease after it has seen it unchanged for the whole
- * lease time; a holder trusts it for less than that, counted from before its
- * last renewal was sent. So the two times never overlap.
+ * One process's view of a service's lease, based only on its own monotonic
+ * clock. A follower takes the lease once it has seen it unchanged for the whole
+ * lease time. A holder trusts it for a shorter time, counted from before it sent
+ * the last renewal, so two processes never hold the lease at once.
  */
 import type { Lease } from "./types.js";
 
-/** Part of the lease time for which a holder trusts it. */
-const TRUSTED_PART = 0.6;
-/** Part of the lease time after which a holder renews. */
-const RENEW_PART = 0.25;
+/** Fraction of the lease time for which the holder trusts the lease. */
+const TRUSTED_FRACTION = 0.6;
+/** Fraction of the lease time after which the holder renews the lease. */
+const RENEW_FRACTION = 0.25;
 
 export interface LeaseState {
-  /** The lease as last seen. */
+  /** The lease as last read; null before a read or if it was never taken. */
   seen: Lease | null;
-  /** When it was first seen so, ms of the watching clock. */
+  /** When it was first seen in this state, ms of the clock passed as `now`. */
   seenAt: number;
-  /** While this process holds it: its renewal's send, ms of its own clock. */
+  /** When this process sent its last renewal, ms; undefined if it is not the holder. */
   sentAt: number | undefined;
 }
 
@@ -31,7 +31,7 @@
   left?.epoch === right?.epoch &&
   left?.beat === right?.beat;
 
-/** The lease was read. */
+/** The state after the lease was read. */
 export const observeLease = (
   state: LeaseState,
   lease: Lease | null,
@@ -44,7 +44,7 @@
   return { seen: lease, seenAt: now, sentAt };
 };
 
-/** A write that takes or renews it took effect; it was sent at `sentAt`. */
+/** The state after a successful write, sent at `sentAt`, that took or renewed the lease. */
 export const leaseAfterWrite = (
   lease: Lease,
   seenAt: number,
@@ -60,25 +60,28 @@
 ): boolean =>
   state.seen?.holder === self &&
   state.sentAt !== undefined &&
-  now < state.sentAt + leaseMs * TRUSTED_PART;
+  now < state.sentAt + leaseMs * TRUSTED_FRACTION;
 
 export type LeaseStep = "take" | "renew" | "wait";
 
 /**
- * What to do about the lease now. `heldNow` is a holder's own clock, where
- * that one counts suspensions of its machine besides: they shorten the trust
- * in an own lease, and are no time for which another's was watched.
+ * The next action on the lease. `holderNow` is the clock for an own lease, if it
+ * differs from `now` in that it also counts machine suspensions: these shorten
+ * the trust in an own lease, but don't count as time spent watching another
+ * holder's lease.
  */
 export const nextLeaseStep = (
   state: LeaseState,
   self: string,
   leaseMs: number,
   now: number,
-  heldNow = now,
+  holderNow = now,
 ): LeaseStep => {
   if (state.seen === null) return "take";
   if (state.seen.holder === self && state.sentAt !== undefined) {
-    return heldNow >= state.sentAt + leaseMs * RENEW_PART ? "renew" : "wait";
+    return holderNow >= state.sentAt + leaseMs * RENEW_FRACTION
+      ? "renew"
+      : "wait";
   }
   return now >= state.seenAt + leaseMs ? "take" : "wait";
 };
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -1,26 +1,26 @@
 /**
- * The control record of a service: one stored object that holds its lease
- * and the desired state of its engines together. A conditional update of it
- * is the only way to give an order, so that a process whose lease was taken
- * can't write: the taker has moved the version.
+ * The control record of a service: one stored object with both its lease and
+ * the desired state of its engines. Orders are given only by a conditional
+ * update of it, so a process that lost the lease can't write: the new holder
+ * has changed the version.
  */
 import type { Role } from "../config/index.js";
 
-/** Object kind of control records; named by their service. */
+/** Object kind of control records; the object name is the service. */
 export const CONTROL_KIND = "control";
-/** Object kind of what a side has carried out; named by its upstream. */
+/** Object kind of order statuses; the object name is the upstream. */
 export const STATUS_KIND = "status";
 
-/** Who runs a service's control loop. */
+/** Lease of the process that runs a service's control loop. */
 export interface Lease {
   holder: string;
-  /** Grows with each new holder. */
+  /** Incremented with each new holder. */
   epoch: number;
-  /** Grows with each renewal. */
+  /** Incremented with each renewal. */
   beat: number;
 }
 
-/** What is asked of one upstream. */
+/** The action that an order requests from an upstream. */
 export type OrderAction =
   | { kind: "drain" }
   | { kind: "undrain" }
@@ -33,17 +33,17 @@
 
 /** The newest order of one upstream. */
 export interface Order {
-  /** Grows by one with each order of the upstream. */
+  /** Incremented with each order of the upstream. */
   seq: number;
   id: string;
   action: OrderAction;
-  /** Operator or control loop that gave it. */
+  /** The operator or control loop that gave the order. */
   by: string;
-  /** Epoch of the lease when it was given. */
+  /** Lease epoch at which the order was given. */
   epoch: number;
 }
 
-/** Desired state of one upstream, with the order that made it. */
+/** Desired state of one upstream, with the order that set it. */
 export interface Desired {
   order: Order;
   isDrained: boolean;
@@ -54,7 +54,7 @@
 export interface ControlRecord {
   lease: Lease | null;
   desired: Record<string, Desired>;
-  /** When a role was last changed by the control loop, ms since 1970. */
+  /** Time of the control loop's last role change, ms since 1970. */
   roleChangedAt: number;
 }
 
@@ -66,14 +66,14 @@
 
 export const PHASES = ["claimed", "started", "done", "failed"] as const;
 
-/** How far a side is with the order `seq`. */
+/** Progress of a side on the order `seq`. */
 export type Phase = (typeof PHASES)[number];
 
-/** The stored status of one upstream; only its side writes it. */
+/** The stored order status of one upstream; only its side writes it. */
 export interface UpstreamStatus {
-  /** The side that has claimed the upstream. */
+  /** Incarnation of the side that has claimed the upstream. */
   incarnation: string;
-  /** The newest order that was begun. */
+  /** Sequence number of the newest order that was started. */
   seq: number;
   phase: Phase;
   detail: string;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,10 +1,10 @@
 /**
- * Who is in the fleet, as one process knows it. News travels as rumours that
- * ride on the exchange with a few peers; each rumour is passed on a bounded
- * number of times. Pure: events in, state inside, no clock and no sockets.
+ * One process's view of the members of the fleet, updated by gossip. Changes are
+ * piggybacked as rumours on the exchange with a few peers, and each rumour is
+ * sent a bounded number of times. Uses no clock and no sockets.
  *
- * Precedence: a higher incarnation wins; at the same one the later state in
- * `MEMBER_STATES` wins. Only a member itself raises its incarnation.
+ * Precedence: the higher incarnation wins; at the same incarnation, the later
+ * state in `MEMBER_STATES` wins. Only a member itself raises its incarnation.
  */
 import type { Rng } from "../shared/rng.js";
 
@@ -16,16 +16,17 @@
 
 export type MemberKind = (typeof MEMBER_KINDS)[number];
 
-/** One process of the system. */
+/** One process of the fleet. */
 export interface Member {
-  /** An entry's own id; for a side the id of its upstream. */
+  /** The entry's id, or for a side the id of its upstream. */
   id: string;
   kind: MemberKind;
   state: MemberState;
-  /** Start of the process, ms since 1970, raised to refute a suspicion. */
+  /** Process start, ms since 1970; raised to refute a suspicion or to announce a role. */
   incarnation: number;
-  /** "IP:port" of its peer server. */
+  /** Address of its peer server, "IP:port". */
   peerAddress: string;
+  /** Failure domain. */
   domain: string;
   /** Role of a side's engine; empty for entries and plain services. */
   role: string;
@@ -37,7 +38,7 @@
 const isKind = (value: string): value is MemberKind =>
   MEMBER_KINDS.includes(value as MemberKind);
 
-/** A rumour as it comes from outside. */
+/** A rumour as received, before validation. */
 export interface RawRumour {
   id: string;
   kind: string;
@@ -48,21 +49,21 @@
   role: string;
 }
 
-/** Checks a rumour where it enters; undefined where it makes no sense. */
+/** Validates a received rumour; returns undefined if it is invalid. */
 export const parseMember = (raw: RawRumour): Member | undefined => {
   const { id, kind, state } = raw;
   if (id === "" || !isKind(kind) || !isState(state)) return undefined;
   return { ...raw, kind, state };
 };
 
-/** A rumour is passed on this many times per doubling of the fleet. */
+/** Sends of a rumour per doubling of the fleet size. */
 const SENDS_PER_DOUBLING = 3;
-/** Rumours in one message; 60 bytes each. */
+/** Maximum rumours per message; each takes 60 bytes. */
 const MAX_RUMOURS = 12;
-/** A suspect that does not speak up counts as gone, ms. */
-const SUSPECT_MS = 5000;
-/** A member that is gone is forgotten after this, ms. */
-const FORGET_MS = 600_000;
+/** Time after which a suspect that has not refuted counts as gone, ms. */
+const SUSPECT_TIMEOUT_MS = 5000;
+/** Time after which a gone member is deleted, ms. */
+const GONE_RETENTION_MS = 600_000;
 
 const hashOf = (member: Member): number => {
   const text = `${member.id}|${member.incarnation}|${member.state}`;
@@ -73,11 +74,11 @@
   return hash >>> 0;
 };
 
-const isNewer = (heard: Member, known: Member): boolean => {
-  if (heard.incarnation !== known.incarnation) {
-    return heard.incarnation > known.incarnation;
+const isNewer = (update: Member, known: Member): boolean => {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation;
   }
-  const rank = MEMBER_STATES.indexOf(heard.state);
+  const rank = MEMBER_STATES.indexOf(update.state);
   return rank > MEMBER_STATES.indexOf(known.state);
 };
 
@@ -85,24 +86,24 @@
 
 export class Membership {
   private readonly members = new Map<string, Member>();
-  /** Times each member's news may still be passed on. */
-  private readonly sends = new Map<string, number>();
-  /** When a member became suspect or gone, ms. */
-  private readonly since = new Map<string, number>();
+  /** Remaining sends of each member's rumour. */
+  private readonly sendsLeft = new Map<string, number>();
+  /** Time of each member's last update, ms. */
+  private readonly updatedAt = new Map<string, number>();
   private readonly listeners: Listener[] = [];
-  private xor = 0;
+  private xorHash = 0;
 
-  constructor(private me: Member) {
-    this.store(me);
+  constructor(private own: Member) {
+    this.store(own);
   }
 
   get self(): Member {
-    return this.me;
+    return this.own;
   }
 
-  /** Equal at two processes that know the same, with high probability. */
+  /** Hash of the view; equal views have equal hashes, others rarely do. */
   get hash(): number {
-    return this.xor >>> 0;
+    return this.xorHash >>> 0;
   }
 
   get size(): number {
@@ -121,67 +122,68 @@
     return this.members.get(id);
   }
 
-  /** Members that can be expected to answer. */
+  /** Other members that are not gone. */
   reachable(): Member[] {
     return this.all().filter(
-      (item) => item.id !== this.me.id && item.state !== "gone",
+      (item) => item.id !== this.own.id && item.state !== "gone",
     );
   }
 
-  /** A state of its own choice, such as `leaving`. */
+  /** Sets this process's own state, such as `leaving`. */
   announce(state: MemberState): void {
-    this.me = { ...this.me, state };
-    this.store(this.me);
-    this.notify(this.me);
+    this.own = { ...this.own, state };
+    this.store(this.own);
+    this.notify(this.own);
   }
 
-  /** Its engine's role changed: news that must win over the older. */
+  /** Sets the own engine's role, with a new incarnation so that it takes precedence. */
   announceRole(role: string): void {
-    if (role === this.me.role) return;
-    const incarnation = this.me.incarnation + 1;
-    this.me = { ...this.me, role, incarnation };
-    this.store(this.me);
+    if (role === this.own.role) return;
+    const incarnation = this.own.incarnation + 1;
+    this.own = { ...this.own, role, incarnation };
+    this.store(this.own);
   }
 
-  /** News of members, from a peer or from the VM list. */
+  /** Merges member updates from a peer or from the VM list. */
   merge(members: Member[], now: number): void {
-    for (const member of members) this.hearOne(member, now);
+    for (const member of members) this.mergeOne(member, now);
   }
 
-  /** A peer did not answer: it becomes suspect, not gone. */
+  /** Marks a peer that did not answer as suspect; it is not gone yet. */
   markSuspect(id: string, now: number): void {
     const known = this.members.get(id);
     if (known === undefined || known.state !== "alive") return;
-    this.hearOne({ ...known, state: "suspect" }, now);
+    this.mergeOne({ ...known, state: "suspect" }, now);
   }
 
-  /** Time passed: suspects become gone, the gone are forgotten. */
+  /** Marks expired suspects as gone and deletes long-gone members. */
   tick(now: number): void {
     for (const member of this.members.values()) {
-      const age = now - (this.since.get(member.id) ?? now);
-      if (member.state === "suspect" && age >= SUSPECT_MS) {
-        this.hearOne({ ...member, state: "gone" }, now);
+      const age = now - (this.updatedAt.get(member.id) ?? now);
+      if (member.state === "suspect" && age >= SUSPECT_TIMEOUT_MS) {
+        this.mergeOne({ ...member, state: "gone" }, now);
       }
-      if (member.state === "gone" && age >= FORGET_MS) this.drop(member);
+      if (member.state === "gone" && age >= GONE_RETENTION_MS)
+        this.drop(member);
     }
   }
 
-  /** The next rumours to pass on, those sent least first. */
+  /** Takes the next rumours to send, those with the most sends left first. */
   takeRumours(): Member[] {
-    const ids = [...this.sends]
+    const ids = [...this.sendsLeft]
       .sort((left, right) => right[1] - left[1])
       .slice(0, MAX_RUMOURS);
     const taken: Member[] = [];
     for (const [id, left] of ids) {
-      if (left <= 1) this.sends.delete(id);
-      else this.sends.set(id, left - 1);
+      if (left <= 1) this.sendsLeft.delete(id);
+      else this.sendsLeft.set(id, left - 1);
       const member = this.members.get(id);
       if (member !== undefined) taken.push(member);
     }
     return taken;
   }
 
-  /** A few random members to exchange with. */
+  /** Picks up to `count` random reachable members to exchange with. */
   pickPeers(count: number, rng: Rng): Member[] {
     const pool = this.reachable();
     const picked: Member[] = [];
@@ -193,42 +195,43 @@
     return picked;
   }
 
-  private hearOne(heard: Member, now: number): void {
-    if (heard.id === this.me.id) return this.hearOfSelf(heard);
-    const known = this.members.get(heard.id);
-    if (known !== undefined && !isNewer(heard, known)) return;
-    if (known === undefined && heard.state === "gone") return;
-    this.store(heard);
-    this.since.set(heard.id, now);
-    this.notify(heard);
+  /** Stores an update that takes precedence over the known state. */
+  private mergeOne(update: Member, now: number): void {
+    if (update.id === this.own.id) return this.mergeSelf(update);
+    const known = this.members.get(update.id);
+    if (known !== undefined && !isNewer(update, known)) return;
+    if (known === undefined && update.state === "gone") return;
+    this.store(update);
+    this.updatedAt.set(update.id, now);
+    this.notify(update);
   }
 
-  /** Refutes a false suspicion; the VM list's word to leave is obeyed. */
-  private hearOfSelf(heard: Member): void {
-    if (heard.incarnation < this.me.incarnation) return;
-    if (heard.state === "alive") return;
-    if (heard.state === "leaving") {
-      if (this.me.state !== "leaving") this.announce("leaving");
+  /** Refutes a false suspicion, but accepts `leaving`, which the VM list sets. */
+  private mergeSelf(update: Member): void {
+    if (update.incarnation < this.own.incarnation) return;
+    if (update.state === "alive") return;
+    if (update.state === "leaving") {
+      if (this.own.state !== "leaving") this.announce("leaving");
       return;
     }
-    this.me = { ...this.me, incarnation: heard.incarnation + 1 };
-    this.store(this.me);
+    this.own = { ...this.own, incarnation: update.incarnation + 1 };
+    this.store(this.own);
   }
 
   private store(member: Member): void {
     const known = this.members.get(member.id);
-    if (known !== undefined) this.xor ^= hashOf(known);
-    this.xor ^= hashOf(member);
+    if (known !== undefined) this.xorHash ^= hashOf(known);
+    this.xorHash ^= hashOf(member);
     this.members.set(member.id, member);
     const doublings = Math.ceil(Math.log2(this.members.size + 1));
-    this.sends.set(member.id, SENDS_PER_DOUBLING * doublings);
+    this.sendsLeft.set(member.id, SENDS_PER_DOUBLING * doublings);
   }
 
   private drop(member: Member): void {
-    this.xor ^= hashOf(member);
+    this.xorHash ^= hashOf(member);
     this.members.delete(member.id);
-    this.sends.delete(member.id);
-    this.since.delete(member.id);
+    this.sendsLeft.delete(member.id);
+    this.updatedAt.delete(member.id);
   }
 
   private notify(member: Member): void {
--- a/src/membership/ranking.ts
+++ b/src/membership/ranking.ts
@@ -1,11 +1,11 @@
 /**
- * Rendezvous ranking: every process works out the same few members for a
- * task, without talking.
+ * Rendezvous hashing: all processes with the same view compute the same members
+ * for a task, without communication.
  */
 import { hashText } from "../routing/prefixes.js";
 import type { Member } from "./membership.js";
 
-/** The `count` members that rank first for a topic. */
+/** Returns the `count` top-ranked members for a topic. */
 export const rankMembers = (
   topic: string,
   members: readonly Member[],
