--- a/src/shared/cancellation.ts
+++ b/src/shared/cancellation.ts
@@ -1,6 +1,6 @@
 /**
- * Cancels what is done for a request. `AbortSignal` does the same, but costs
- * a good part of a send when it is passed to each.
+ * Cancels the work done for a request. Used instead of `AbortSignal`, which adds
+ * a considerable part of the cost of a send when it is passed to each one.
  */
 
 export class Cancellation {
@@ -18,7 +18,10 @@
     this.callbacks.clear();
   }
 
-  /** Runs `callback` at the cancellation; gives the way to take it back. */
+  /**
+   * Runs `callback` on cancellation, or at once if already cancelled. Returns a
+   * function that unregisters it.
+   */
   onCancel(callback: () => void): () => void {
     if (this.cancelled) {
       callback();
@@ -29,21 +32,21 @@
   }
 }
 
-/** A cancellation that comes with its parent's, or after a time. */
+/** Is cancelled together with its parent, or after a timeout in ms. */
 export class BoundedCancellation extends Cancellation {
   private readonly timer: NodeJS.Timeout | undefined;
-  private readonly leave: () => void;
+  private readonly detach: () => void;
 
   constructor(parent: Cancellation | undefined, timeoutMs: number | undefined) {
     super();
-    this.leave = parent?.onCancel(() => this.cancel()) ?? (() => undefined);
+    this.detach = parent?.onCancel(() => this.cancel()) ?? (() => undefined);
     if (timeoutMs === undefined) return;
     this.timer = setTimeout(() => this.cancel(), timeoutMs);
   }
 
-  /** To be called when the work is over. */
+  /** Releases the timer and the parent; call it when the work is done. */
   dispose(): void {
     clearTimeout(this.timer);
-    this.leave();
+    this.detach();
   }
 }
--- a/src/shared/constants.ts
+++ b/src/shared/constants.ts
@@ -1,37 +1,37 @@
-/** Names that several folders share. */
+/** Names shared by several folders. */
 
-/** Headers between callers, entries and sides. All lower case. */
+/** HTTP headers between callers, entries and sides, in lower case. */
 export const HEADERS = {
   requestId: "x-request-id",
   idempotencyKey: "idempotency-key",
-  /** Class of the request, one that the service declares. */
+  /** Request class, one of those that the service declares. */
   className: "x-snowgate-class",
-  /** Budget that is left, ms. A caller may only tighten it. */
+  /** Remaining time until the deadline, ms. A caller may only shorten it. */
   deadline: "x-snowgate-deadline-ms",
   workspace: "x-snowgate-workspace",
-  /** What is known of a failed request; see `Verdict`. */
+  /** Whether a failed request may have run; see `Verdict`. */
   verdict: "x-snowgate-verdict",
-  /** Set when a kept answer is given again to the same key. */
+  /** Set when a stored response is replayed for the same idempotency key. */
   replayed: "x-snowgate-replayed",
   /** Between entry and side only; stripped from callers. */
   auth: "x-snowgate-auth",
   upstream: "x-snowgate-upstream",
   urgency: "x-snowgate-urgency",
-  /** Tokens of the whole prompt. */
+  /** Number of tokens in the whole prompt. */
   promptTokens: "x-snowgate-prompt-tokens",
   outputTokens: "x-snowgate-output-tokens",
-  /** Hashes of the prompt's growing prefixes, comma between. */
+  /** Hashes of the prompt's prefixes, shortest first, comma-separated. */
   prefixes: "x-snowgate-prefixes",
   /** "export": read the prompt and keep its KV cache for another engine. */
   kvExport: "x-snowgate-kv-export",
-  /** Where the prompt's KV cache is to be had, as URL of its engine. */
+  /** URL of the engine that holds the prompt's KV cache. */
   kvImport: "x-snowgate-kv-import",
   load: "x-snowgate-load",
   configNumber: "x-snowgate-config",
-  /** Tokens that the caller holds already, when a stream is resumed. */
+  /** Number of tokens that the caller already has when it resumes a stream. */
   resumeFrom: "x-snowgate-resume-from",
   retryAfterMs: "x-snowgate-retry-after-ms",
 } as const;
 
-/** Prefix of headers that belong to the system. */
+/** Prefix of the system's own headers. */
 export const INTERNAL_HEADER_PREFIX = "x-snowgate-";
--- a/src/shared/decayingSum.ts
+++ b/src/shared/decayingSum.ts
@@ -1,9 +1,9 @@
-/** A sum whose parts fade with time, for rates. Pure; times are ms. */
+/** An exponentially decaying sum, for rates. Times are in ms. */
 export class DecayingSum {
   private sum = 0;
   private at = 0;
 
-  /** `memoryMs`: a part counts a third after so long. */
+  /** `memoryMs`: time constant; after it a part counts 1/e, about a third. */
   constructor(private readonly memoryMs: number) {}
 
   add(part: number, now: number): void {
@@ -11,7 +11,7 @@
     this.at = now;
   }
 
-  /** Parts a ms. */
+  /** Smoothed rate per ms. */
   rate(now: number): number {
     return this.value(now) / this.memoryMs;
   }
--- a/src/shared/errors.ts
+++ b/src/shared/errors.ts
@@ -1,21 +1,21 @@
-/** The error classes of the project and the failure of a request. */
+/** Error classes, and the description of a failed request. */
 import ModernError from "modern-errors";
 
 import type { Verdict } from "./verdict.js";
 
-/** Base of every error that the project raises on purpose. */
+/** Base class of all errors that the project throws deliberately. */
 export const SnowgateError = ModernError.subclass("SnowgateError");
 
-/** Settings or a configuration document that can't be accepted. */
+/** Invalid settings or an invalid configuration document. */
 export const InvalidInputError = SnowgateError.subclass("InvalidInputError");
 
 /** The platform's object API did not answer, or refused the call. */
 export const StoreError = SnowgateError.subclass("StoreError");
 
-/** An operator's order that can't be carried out. */
+/** An operator's order that could not be given or carried out. */
 export const OrderError = SnowgateError.subclass("OrderError");
 
-/** Why a request failed; the `code` of the typed error body. */
+/** Why a request failed; the `code` in the error body. */
 export type FailureCode =
   | "bad_request"
   | "body_too_large"
@@ -32,7 +32,7 @@
   | "wrong_upstream"
   | "unreachable"
   | "cut"
-  /** Replicas that ran it have ended. */
+  /** Earlier runs of the request ended their replicas. */
   | "quarantined"
   | "crossed"
   | "upstream_error"
@@ -43,13 +43,13 @@
   | "answer_too_large"
   | "caller_gone";
 
-/** A failed request, as told to the caller. */
+/** A failed request, as reported to the caller. */
 export interface RequestFailure {
   /** HTTP status of the answer. */
   status: number;
   code: FailureCode;
   message: string;
   verdict: Verdict;
-  /** When a later try makes sense, in ms; absent if it never does. */
+  /** Time after which to retry, ms; absent if a retry makes no sense. */
   retryAfterMs?: number;
 }
--- a/src/shared/runningMean.ts
+++ b/src/shared/runningMean.ts
@@ -1,15 +1,18 @@
-/** A mean that forgets; its first values count in full. Pure. */
+/**
+ * A moving average. The first values are averaged equally; later ones get the
+ * weight `gain`.
+ */
 export class RunningMean {
   private count = 0;
 
-  /** `gain`: weight of one new value in the long run. */
+  /** `gain`: minimum weight of a new value. */
   constructor(
     private readonly gain: number,
     public value = 0,
   ) {}
 
-  add(seen: number): void {
+  add(sample: number): void {
     this.count += 1;
-    this.value += (seen - this.value) * Math.max(this.gain, 1 / this.count);
+    this.value += (sample - this.value) * Math.max(this.gain, 1 / this.count);
   }
 }
--- a/src/shared/slidingCount.ts
+++ b/src/shared/slidingCount.ts
@@ -1,11 +1,11 @@
-/** A count over the last time, by a few slots of it. Pure; times are ms. */
+/** A count over a sliding window, divided into slots. Times are in ms. */
 
-/** Parts of the time that are counted apart. */
+/** Slots per window. */
 const SLOTS = 10;
 
 export class SlidingCount {
   private readonly slotMs: number;
-  /** Counts by number of the slot since the begin of the clock. */
+  /** Counts by slot number; slot 0 starts at time 0 of the clock. */
   private readonly slots = new Map<number, number>();
 
   constructor(windowMs: number) {
@@ -20,12 +20,12 @@
     }
   }
 
-  /** What came in the last window, and perhaps a slot more. */
+  /** Upper bound of the count: may include up to one slot too much. */
   upperBound(now: number): number {
     return this.sumSince(this.slotAt(now) - SLOTS);
   }
 
-  /** What came in the last window, perhaps but for a slot. */
+  /** Lower bound of the count: may miss up to one slot. */
   lowerBound(now: number): number {
     return this.sumSince(this.slotAt(now) - SLOTS + 1);
   }
--- a/src/shared/tokenBucket.ts
+++ b/src/shared/tokenBucket.ts
@@ -1,12 +1,12 @@
-/** A token bucket as a pure value: state in, state out, time passed in. */
+/** A token bucket as an immutable value; functions return the new state. */
 
 export interface TokenBucket {
   tokens: number;
-  /** Largest number of tokens held. */
+  /** Maximum number of tokens. */
   capacity: number;
-  /** Tokens that come back in one ms. */
+  /** Tokens refilled per ms. */
   perMs: number;
-  /** When `tokens` was worked out, ms of a monotonic clock. */
+  /** When `tokens` was last updated, ms of a monotonic clock. */
   at: number;
 }
 
@@ -23,11 +23,11 @@
 
 const refilled = (bucket: TokenBucket, now: number): TokenBucket => {
   const gained = Math.max(0, now - bucket.at) * bucket.perMs;
-  const held = Math.min(bucket.capacity, bucket.tokens + gained);
-  return { ...bucket, tokens: held, at: Math.max(now, bucket.at) };
+  const tokens = Math.min(bucket.capacity, bucket.tokens + gained);
+  return { ...bucket, tokens, at: Math.max(now, bucket.at) };
 };
 
-/** Takes `amount` if it is there. */
+/** Takes `amount` tokens if the bucket has that many. */
 export const takeTokens = (
   bucket: TokenBucket,
   amount: number,
@@ -41,13 +41,13 @@
   };
 };
 
-/** Adds tokens, up to the capacity. */
+/** Adds tokens up to the capacity. */
 export const addTokens = (
   bucket: TokenBucket,
   amount: number,
   now: number,
 ): TokenBucket => {
   const fresh = refilled(bucket, now);
-  const held = Math.min(fresh.capacity, fresh.tokens + amount);
-  return { ...fresh, tokens: held };
+  const tokens = Math.min(fresh.capacity, fresh.tokens + amount);
+  return { ...fresh, tokens };
 };
--- a/src/shared/utils.ts
+++ b/src/shared/utils.ts
@@ -1,10 +1,10 @@
-/** Small pure helpers without a home of their own. */
+/** Small general-purpose helpers. */
 import { timingSafeEqual, createHash } from "node:crypto";
 
 const digest = (text: string): Buffer =>
   createHash("sha256").update(text).digest();
 
-/** Compares two secrets in time that does not depend on their content. */
+/** Compares two secrets in constant time. */
 export const isSameSecret = (left: string, right: string): boolean =>
   timingSafeEqual(digest(left), digest(right));
 
@@ -12,6 +12,6 @@
 export const fingerprint = (text: string | Buffer): string =>
   createHash("sha256").update(text).digest("hex").slice(0, 16);
 
-/** The message of anything that was thrown. */
+/** Returns the message of any thrown value. */
 export const errText = (err: unknown): string =>
   err instanceof Error ? err.message : String(err);
--- a/src/shared/verdict.ts
+++ b/src/shared/verdict.ts
@@ -1,17 +1,17 @@
-/** What is known of a request that failed: whether it may have run. */
+/** Whether a failed request may have run on an upstream. */
 
 export const VERDICTS = ["not-run", "may-have-run", "ran"] as const;
 
 /**
- * - `not-run`: proved that no upstream started the request.
+ * - `not-run`: provably, no upstream started the request.
  * - `may-have-run`: bytes reached an upstream; the outcome is unknown.
- * - `ran`: the upstream finished it, but the answer can't be delivered.
+ * - `ran`: the upstream finished it, but the response can't be delivered.
  */
 export type Verdict = (typeof VERDICTS)[number];
 
 export const isVerdict = (value: unknown): value is Verdict =>
   VERDICTS.includes(value as Verdict);
 
-/** The weaker proof of two: what holds after both attempts. */
+/** The verdict for two attempts: the later one in `VERDICTS`. */
 export const worseVerdict = (left: Verdict, right: Verdict): Verdict =>
   VERDICTS.indexOf(left) >= VERDICTS.indexOf(right) ? left : right;
--- a/src/workspaces/configFreshness.ts
+++ b/src/workspaces/configFreshness.ts
@@ -1,27 +1,27 @@
 /**
- * Proof of how new the configuration is that this process holds: the latest
- * instant at which it is known to have been the store's newest. It guards
- * against keys that were taken away behind a cut, on a store that turns this
- * process away, or while the process stood still. All instants are of this
- * process's lease clock, which goes on during a pause and a suspension.
+ * Tracks the latest time at which the configuration held by this process was
+ * provably the newest in the store. Guards against accepting keys that were
+ * revoked during a network partition, while the store refused this process, or
+ * while the process was paused. All times are of the process's lease clock,
+ * which advances during pauses and suspensions.
  */
 import type { FeedAnswer } from "../store/index.js";
 
 /**
- * A watch of the store may hear nothing for so long while changes are made,
- * ms, so that an answer without changes proves only what was before. Origin:
- * the platform's page on how a store forgets its history.
+ * Maximum time for which a watch of the store may miss changes, ms. An answer
+ * without changes therefore only proves the state before that time. From the
+ * platform's page on how a store forgets its history.
  */
 export const MAX_WATCH_LAG_MS = 1000;
 
 /**
- * The instant of which an answer tells. The store looked at the earliest
- * when the call was sent; only a wait that ran out in full, without a change,
- * tells of its end too.
+ * Returns the time for which a store answer is a proof. The store can have read
+ * its state as early as when the call was sent. Only an answer without changes
+ * after the full wait proves the state at the end of the wait.
  */
 export const provenAt = (answer: FeedAnswer): number => {
   const { sentAt, answeredAt, waitMs, hasChanges, suspendedMs = 0 } = answer;
-  // By the steady clock: a suspension is no time for which the store waited.
+  // Excludes suspensions, as the store does not wait during them.
   const hasWaited = answeredAt - sentAt >= waitMs;
   const asOf = hasChanges || !hasWaited ? sentAt : sentAt + waitMs;
   return asOf + suspendedMs;
@@ -30,23 +30,23 @@
 export class ConfigFreshness {
   private asOf = -Infinity;
 
-  /** The configuration that is held was the newest at that instant. */
+  /** Records that the held configuration was the newest at `asOf`. */
   prove(asOf: number): void {
     this.asOf = Math.max(this.asOf, asOf);
   }
 
-  /** Age of the proof, ms; infinite where there is none. */
+  /** Age of the proof, ms; Infinity if there is none. */
   ageMs(now: number): number {
     return now - this.asOf;
   }
 }
 
-/** What one process tells another of the newest configuration. */
+/** The newest configuration, as one process sends it to another. */
 export interface ConfigNews {
   /** Revision of the stored object. */
   revision: number;
   /** Age of the proof that it is the newest, ms. */
   ageMs: number;
-  /** The stored value; undefined where the other holds that revision. */
+  /** The stored value; undefined if the receiver already holds this revision. */
   value: unknown;
 }
--- a/src/workspaces/keyCheck.ts
+++ b/src/workspaces/keyCheck.ts
@@ -1,25 +1,24 @@
 /**
- * Whether a request may be served by its key, and as which workspace. Pure.
- * Load that it answers: keys are added and taken away at any moment, also
- * while a process lacks the store. A key that was taken away runs nowhere
- * after the bound; one that was just added is not called unknown by a
- * process that can't know it yet.
+ * Checks a request's key and finds its workspace. Pure. Keys can be added and
+ * revoked at any time, also while a process can't reach the store. No process
+ * serves a revoked key after the bound, and none rejects a newly added key as
+ * unknown while it can't know it yet.
  */
 import type { RequestFailure } from "../shared/errors.js";
 import { MAX_WATCH_LAG_MS } from "./configFreshness.js";
 import type { Keyring, Workspace } from "./keyring.js";
 
-/** Bounds on how old a process's knowledge of keys may be, ms. */
+/** Bounds on the age of a process's list of keys, ms. */
 export interface KeyBounds {
-  /** A key that was taken away runs nowhere after this; Infinity: no bound. */
+  /** No process serves a key this long after its revocation; Infinity: no bound. */
   revokeMs: number;
-  /** A process in touch with the store knows each change by then. */
+  /** A process that reaches the store has applied any change by then. */
   applyMs: number;
 }
 
 /**
- * For whom a request runs. `open`: the configuration has no workspaces, and
- * heads pass as they are; `public`: its route needs no key.
+ * On whose behalf a request runs. `open`: the configuration has no workspaces,
+ * and headers are passed through unchanged; `public`: the route needs no key.
  */
 export type CallerIdentity =
   | { kind: "open" }
@@ -27,12 +26,12 @@
   | { kind: "workspace"; workspace: Workspace };
 
 export interface KeyCheckInput {
-  /** Undefined where the configuration has no workspaces. */
+  /** Undefined if the configuration has no workspaces. */
   keyring: Keyring | undefined;
   isPublic: boolean;
-  /** Digest of the caller's key; undefined: it sent none. */
+  /** Digest of the caller's key; undefined if it sent none. */
   digest: string | undefined;
-  /** Age of the proof that the configuration is the newest, ms. */
+  /** Age of the proof that the configuration is the newest, ms; see `ConfigFreshness`. */
   proofAgeMs: number;
   bounds: KeyBounds;
 }
@@ -42,38 +41,39 @@
   | { kind: "refused"; failure: RequestFailure };
 
 /**
- * Another process is likely to have the proof that this one lacks, and the
- * balancer sends a caller that comes back elsewhere, ms.
+ * Retry time of a process without a recent proof, ms. Another process probably
+ * has one, and the load balancer sends the retry to another process.
  */
-const ELSEWHERE_MS = 100;
+const RETRY_ELSEWHERE_MS = 100;
 
-const STALE: RequestFailure = {
+const KEYS_UNPROVEN: RequestFailure = {
   status: 503,
   code: "keys_unproven",
   message: "this process can't prove that its list of keys is new enough",
   verdict: "not-run",
-  retryAfterMs: ELSEWHERE_MS,
+  retryAfterMs: RETRY_ELSEWHERE_MS,
 };
 
-const UNKNOWN: RequestFailure = {
+const UNAUTHORIZED: RequestFailure = {
   status: 401,
   code: "unauthorized",
   message: "the key is missing or not known",
   verdict: "not-run",
 };
 
-/** Oldest proof by which keyed requests are served, ms. */
+/** Maximum age of the proof for serving requests with a key, ms. */
 export const maxProofAgeMs = ({ revokeMs }: KeyBounds): number =>
   revokeMs - MAX_WATCH_LAG_MS;
 
-export const checkKey = (ask: KeyCheckInput): KeyCheckResult => {
-  const { keyring, isPublic, digest, proofAgeMs, bounds } = ask;
+/** Decides whether a request is served, and for which workspace. */
+export const checkKey = (input: KeyCheckInput): KeyCheckResult => {
+  const { keyring, isPublic, digest, proofAgeMs, bounds } = input;
   if (keyring === undefined) return allowed({ kind: "open" });
   if (isPublic) return allowed({ kind: "public" });
-  if (proofAgeMs > maxProofAgeMs(bounds)) return refused(STALE);
+  if (proofAgeMs > maxProofAgeMs(bounds)) return refused(KEYS_UNPROVEN);
   const workspace = keyring.find(digest);
   if (workspace !== undefined) return allowed({ kind: "workspace", workspace });
-  return refused(proofAgeMs > bounds.applyMs ? STALE : UNKNOWN);
+  return refused(proofAgeMs > bounds.applyMs ? KEYS_UNPROVEN : UNAUTHORIZED);
 };
 
 const allowed = (claim: CallerIdentity): KeyCheckResult => ({
--- a/src/workspaces/keyring.ts
+++ b/src/workspaces/keyring.ts
@@ -1,19 +1,19 @@
 /**
- * The workspaces of one configuration, found by the digest of a key. Keys
- * themselves are not kept: a process that is dumped or logged shows none.
+ * Looks up the workspaces of one configuration by the digest of a key. The keys
+ * themselves are not kept, so that dumps and logs can't reveal them.
  */
 import { hash } from "node:crypto";
 
 /** One workspace of the configuration. */
 export interface Workspace {
   name: string;
-  /** Digests of its keys, as `keyDigest` makes them. */
+  /** Digests of its keys; see `keyDigest`. */
   keyDigests: readonly string[];
-  /** Goes before a route's; undefined: the route's holds. 0 is most urgent. */
+  /** Overrides the route's priority unless undefined. 0 is the most urgent. */
   priority: number | undefined;
 }
 
-/** What stands for a key everywhere behind the adapter. */
+/** SHA-256 digest, base64, that replaces a key everywhere behind the adapter. */
 export const keyDigest = (key: string): string => hash("sha256", key, "base64");
 
 export class Keyring {
--- a/src/workspaces/usageCounts.ts
+++ b/src/workspaces/usageCounts.ts
@@ -1,69 +1,70 @@
 /**
- * Requests that began to run, by window and workspace, as one process has
- * seen them. Windows are numbered from the epoch of the time of day, so that
- * all processes mean the same one by a number.
+ * Counts of started requests by time window and workspace. Windows are numbered
+ * from the Unix epoch, so that a number means the same window in all processes.
  */
 
 /** Requests by workspace. */
 export type Counts = Record<string, number>;
 
-/** What one process has counted in one window so far. */
+/** One process's counts for one window so far. */
 export interface WindowCounts {
   seq: number;
   counts: Counts;
 }
 
-/** Windows that are kept: those that may still be asked for, and a spare. */
+/** Windows kept beyond those that may still be reported. */
 const SPARE_WINDOWS = 2;
 
 export interface UsageWindows {
   windowMs: number;
-  /** After its end a report of a window is due by then, ms. */
+  /** A window's report is due this long after the window ends, ms. */
   dueMs: number;
 }
 
+/** Returns the number of the window that contains a time. */
 export const windowAt = (wallMs: number, windowMs: number): number =>
   Math.floor(wallMs / windowMs);
 
-/** Oldest window whose report can still be in time. */
+/** Returns the oldest window whose report can still be on time. */
 export const oldestDue = (
   wallMs: number,
   { windowMs, dueMs }: UsageWindows,
 ): number => Math.ceil((wallMs - dueMs) / windowMs) - 1;
 
+/** The counts of this process. */
 export class UsageCounts {
   private readonly windows = new Map<number, Counts>();
-  /** Windows that have changed since they were told. */
-  private readonly untold = new Set<number>();
+  /** Windows that have changed since the last `takeChanges`. */
+  private readonly changed = new Set<number>();
 
   constructor(
     private readonly bounds: UsageWindows,
     private readonly wallNow: () => number,
   ) {}
 
-  /** A request of a workspace began to run `agoMs` ago. */
+  /** Counts a request of a workspace that started `agoMs` ago. */
   record(workspace: string, agoMs = 0): void {
     const seq = windowAt(this.wallNow() - agoMs, this.bounds.windowMs);
     const counts = this.windows.get(seq) ?? {};
     counts[workspace] = (counts[workspace] ?? 0) + 1;
     this.windows.set(seq, counts);
-    this.untold.add(seq);
+    this.changed.add(seq);
   }
 
-  /** All that is kept: for a reporter that knows nothing yet. */
+  /** All kept windows, for a new reporter. */
   all(): WindowCounts[] {
     return [...this.windows].map(([seq, counts]) => ({ seq, counts }));
   }
 
-  /** What has changed since the last call. */
+  /** Returns the windows that have changed since the last call. */
   takeChanges(): WindowCounts[] {
     this.prune();
-    const news = [...this.untold].flatMap((seq) => {
+    const changes = [...this.changed].flatMap((seq) => {
       const counts = this.windows.get(seq);
       return counts === undefined ? [] : [{ seq, counts }];
     });
-    this.untold.clear();
-    return news;
+    this.changed.clear();
+    return changes;
   }
 
   private prune(): void {
@@ -74,18 +75,19 @@
   }
 }
 
-/** What all processes have told of their counts, at the one that reports. */
+/** The counts of all processes, at the process that reports them. */
 export class UsageLedger {
   /** By window, then by process. */
   private readonly windows = new Map<number, Map<string, Counts>>();
 
-  /** Replaces what that life of a process told of the window before. */
+  /** Replaces the earlier counts of a process incarnation for the window. */
   record(process: string, { seq, counts }: WindowCounts): void {
     const known = this.windows.get(seq) ?? new Map<string, Counts>();
     known.set(process, counts);
     this.windows.set(seq, known);
   }
 
+  /** Sums a window's counts over all processes. */
   total(seq: number): Counts {
     const total: Counts = {};
     for (const counts of this.windows.get(seq)?.values() ?? []) {
@@ -96,7 +98,7 @@
     return total;
   }
 
-  /** Forgets windows before this one. */
+  /** Deletes the windows before `oldest`. */
   prune(oldest: number): void {
     for (const seq of this.windows.keys()) {
       if (seq < oldest) this.windows.delete(seq);
