--- a/src/gateway/configProofRequester.ts
+++ b/src/gateway/configProofRequester.ts
@@ -6,7 +6,7 @@
  */
 import type { SharedPlacement } from "../placement/index.js";
 import type { Supervisor } from "../tasks/index.js";
-import { oldestProofMs } from "../workspaces/index.js";
+import { maxProofAgeMs } from "../workspaces/index.js";
 import type { KeyBounds } from "../workspaces/index.js";
 import type { GatewayState } from "./gatewayState.js";
 
@@ -27,7 +27,7 @@
     private readonly placement: SharedPlacement,
     bounds: KeyBounds,
   ) {
-    this.askAfterMs = oldestProofMs(bounds) * ASK_AGE_FRACTION;
+    this.askAfterMs = maxProofAgeMs(bounds) * ASK_AGE_FRACTION;
   }
 
   start(supervisor: Supervisor): void {
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -4,7 +4,7 @@
  * between; see docs/PLATFORM.md.
  */
 import type { Stage } from "../scheduling/index.js";
-import type { KeyClaim, Workspace } from "../workspaces/index.js";
+import type { CallerIdentity, Workspace } from "../workspaces/index.js";
 
 export const ROUTE_KINDS = ["safe", "unsafe", "stream"] as const;
 
@@ -167,7 +167,7 @@
   /** Only the replica with this name may accept the request. */
   replicaName: string;
   /** On whose behalf: replicas get the workspace's name, never the key. */
-  claim: KeyClaim;
+  claim: CallerIdentity;
   deadlineMs: number;
   /** `read`: prefill the prompt only; `run`: generate the response. */
   phase: "read" | "run";
--- a/src/gateway/usageTracker.ts
+++ b/src/gateway/usageTracker.ts
@@ -65,12 +65,12 @@
 
   /** Counts a request of a workspace that began to run `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void {
-    this.counts.note(workspace, agoMs);
+    this.counts.record(workspace, agoMs);
   }
 
   /** Takes the counts of a process, of this one or of a peer. */
   recordCounts(process: string, window: WindowCounts): void {
-    this.ledger.tell(process, window);
+    this.ledger.record(process, window);
   }
 
   /** Sends all counts to a newly connected holder, which has none of them. */
@@ -88,7 +88,7 @@
     const { service } = this;
     const { placement } = this.options;
     if (service === undefined) return;
-    const news = this.counts.takeNews();
+    const news = this.counts.takeChanges();
     if (placement.isHolder(service)) {
       for (const window of this.counts.all())
         this.recordCounts(this.process, window);
