--- a/src/gateway/cacheSurvey.ts
+++ b/src/gateway/cacheSurvey.ts
@@ -9,7 +9,7 @@
 import type { Log } from "../telemetry/index.js";
 import type { ReplicaClient } from "./replicaClient.js";
 import type { ReplicaSet } from "./replicaSet.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 import type { Replica } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
@@ -21,7 +21,7 @@
 export interface CacheSurveyOptions {
   replicas: ReplicaSet;
   client: ReplicaClient;
-  form: RequestForm;
+  codec: RequestCodec;
   local: LocalPlacement;
   log: Log;
   now: () => number;
@@ -51,18 +51,18 @@
 
   /** How many parts the engine told of. */
   private async learn(engine: Replica): Promise<number> {
-    const { client, form, local, log } = this.options;
+    const { client, codec, local, log } = this.options;
     const { id, service } = engine;
     const cancellation = new BoundedCancellation(undefined, LIST_MS);
     try {
-      const call = form.cacheListCall(engine);
+      const call = codec.cacheListCall(engine);
       const purpose = "question";
       const order = { ...call, purpose, cancellation } as const;
       const sent = await client.send(engine, order);
       if (sent.kind === "failed") return 0;
       const whole = await readWholeBody(sent, MAX_LIST_BYTES);
       if (whole.kind === "cut" || sent.res.statusCode !== 200) return 0;
-      const held = form.readCacheList(whole.body.toString("utf8"));
+      const held = codec.readCacheList(whole.body.toString("utf8"));
       local.learnCache(service, id, held);
       return held.length;
     } catch (err) {
--- a/src/gateway/callerRequest.ts
+++ b/src/gateway/callerRequest.ts
@@ -5,7 +5,7 @@
 import type { RequestFailure } from "../shared/errors.js";
 import type { Log, LogFields, Metrics } from "../telemetry/index.js";
 import { requestDigest } from "../quarantine/index.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 import type { InboundHead, Route } from "./types.js";
 import type { KeyClaim, Workspace } from "../workspaces/index.js";
 
@@ -13,7 +13,7 @@
  * How long past its limit a request is held for an answer that is on its
  * way, ms. A replica ends by itself at the limit.
  */
-const LAST_ANSWER_MS = 80;
+const LATE_ANSWER_GRACE_MS = 80;
 
 export interface CallerRequestOptions {
   res: ServerResponse;
@@ -25,14 +25,14 @@
   arrivedAt: number;
   /** A request of a workspace began to run `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   metrics: Metrics;
   now: () => number;
   /** Version of the configuration that routed it. */
   configVersion: number;
   /** The longest time that callers of this route were seen to give, ms. */
-  fullDeadlineMs: number;
+  maxDeadlineMs: number;
 }
 
 export class CallerRequest {
@@ -49,13 +49,13 @@
   private readonly timer: NodeJS.Timeout;
   private readonly fullDeadlineMs: number;
   private knownDigest: string | undefined;
-  private isAnswered = false;
+  private hasAnswer = false;
   private hasRun = false;
   /** When a stream began, ms after its arrival. */
   private firstMs: number | undefined;
   /** Whether the caller went before its answer was whole. */
   isCallerGone = false;
-  isOverdue = false;
+  isPastDeadline = false;
   /** A trial of a barred request: it is sent once, and not again. */
   isTrial = false;
   /** Replicas that it was sent to, in order, for the log. */
@@ -69,14 +69,14 @@
     this.claim = options.claim;
     this.body = body;
     this.arrivedAt = arrivedAt;
-    this.fullDeadlineMs = options.fullDeadlineMs;
+    this.fullDeadlineMs = options.maxDeadlineMs;
     const budgetMs = Math.min(
       head.deadlineMs ?? route.timeoutMs,
       route.timeoutMs,
     );
     this.deadlineAt = arrivedAt + budgetMs;
-    const left = Math.max(0, this.deadlineAt + LAST_ANSWER_MS - now());
-    this.timer = setTimeout(() => this.onOverdue(), left);
+    const left = Math.max(0, this.deadlineAt + LATE_ANSWER_GRACE_MS - now());
+    this.timer = setTimeout(() => this.onDeadline(), left);
     res.on("close", () => this.onClose());
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** A replica began to run it so long ago; counted once. */
-  noteBegun(agoMs = 0): void {
+  markBegun(agoMs = 0): void {
     if (this.hasRun) return;
     this.hasRun = true;
     const { workspace } = this;
@@ -131,57 +131,57 @@
 
   /** Answers with a whole reply of a replica. */
   answerWhole(status: number, headers: string[], body: Buffer): void {
-    if (!this.begin("answered")) return;
+    if (!this.startResponse("answered")) return;
     headers.push("Content-Length", String(body.length));
     this.writeHead(status, headers);
     this.res.end(body);
   }
 
   /** Sends the head of a streamed reply; its end is logged, not its begin. */
-  beginStream(status: number, headers: string[]): void {
-    if (this.isAnswered) return;
-    this.isAnswered = true;
-    if (this.res.destroyed) return this.note("caller_gone");
+  startStream(status: number, headers: string[]): void {
+    if (this.hasAnswer) return;
+    this.hasAnswer = true;
+    if (this.res.destroyed) return this.recordOutcome("caller_gone");
     this.firstMs = Math.round(this.elapsedMs());
-    this.count("streamed");
+    this.countOutcome("streamed");
     this.writeHead(status, headers);
     this.res.flushHeaders();
   }
 
   /** A stream has ended, or its caller is gone. */
   endStream(outcome: string, figures: LogFields): void {
-    this.log(outcome, { firstMs: this.firstMs, ...figures });
+    this.logOutcome(outcome, { firstMs: this.firstMs, ...figures });
   }
 
-  get hasBegun(): boolean {
-    return this.isAnswered;
+  get isResponseStarted(): boolean {
+    return this.hasAnswer;
   }
 
   /** Ends without an answer that could be taken for a whole one. */
-  cut(why: string): void {
-    this.note("cut", { why });
+  abort(why: string): void {
+    this.recordOutcome("cut", { why });
     this.res.destroy();
   }
 
   fail(failure: RequestFailure): void {
-    if (this.isAnswered) return this.cut(failure.message);
+    if (this.hasAnswer) return this.abort(failure.message);
     const fields = {
       verdict: failure.verdict,
       status: failure.status,
       why: failure.message,
       retryAfterMs: failure.retryAfterMs,
     };
-    if (!this.begin(failure.code, fields)) return;
-    sendFailure(this.res, this.options.form, failure, this.head.id);
+    if (!this.startResponse(failure.code, fields)) return;
+    sendFailure(this.res, this.options.codec, failure, this.head.id);
   }
 
   /** Counts and logs the outcome. */
-  private note(outcome: string, fields: LogFields = {}): void {
-    this.count(outcome);
-    this.log(outcome, fields);
+  private recordOutcome(outcome: string, fields: LogFields = {}): void {
+    this.countOutcome(outcome);
+    this.logOutcome(outcome, fields);
   }
 
-  private count(outcome: string): void {
+  private countOutcome(outcome: string): void {
     const { metrics } = this.options;
     const className = this.route.name;
     metrics.count("request", { class: className, outcome });
@@ -189,7 +189,7 @@
     metrics.latency(className, owner, this.elapsedMs());
   }
 
-  private log(outcome: string, fields: LogFields): void {
+  private logOutcome(outcome: string, fields: LogFields): void {
     this.options.log.info("request", {
       requestId: this.head.id,
       route: this.route.name,
@@ -206,14 +206,14 @@
     });
   }
 
-  private begin(outcome: string, fields: LogFields = {}): boolean {
-    if (this.isAnswered) return false;
-    this.isAnswered = true;
+  private startResponse(outcome: string, fields: LogFields = {}): boolean {
+    if (this.hasAnswer) return false;
+    this.hasAnswer = true;
     if (this.res.destroyed) {
-      this.note("caller_gone");
+      this.recordOutcome("caller_gone");
       return false;
     }
-    this.note(outcome, fields);
+    this.recordOutcome(outcome, fields);
     return true;
   }
 
@@ -222,8 +222,8 @@
     this.res.writeHead(status, headers);
   }
 
-  private onOverdue(): void {
-    this.isOverdue = true;
+  private onDeadline(): void {
+    this.isPastDeadline = true;
     this.cancellation.cancel();
   }
 
@@ -238,12 +238,12 @@
 /** Answers with a failure in the form that callers understand. */
 export const sendFailure = (
   res: ServerResponse,
-  form: RequestForm,
+  codec: RequestCodec,
   failure: RequestFailure,
   requestId: string,
 ): void => {
   if (res.headersSent || res.destroyed) return;
-  const answer = form.failureAnswer(failure, requestId);
+  const answer = codec.failureAnswer(failure, requestId);
   const length = String(Buffer.byteLength(answer.body));
   res.writeHead(answer.status, [...answer.headers, "Content-Length", length]);
   res.end(answer.body);
--- a/src/gateway/engineCalls.ts
+++ b/src/gateway/engineCalls.ts
@@ -5,10 +5,10 @@
 import type { Verdict } from "../shared/verdict.js";
 import type { Log } from "../telemetry/index.js";
 import type { CallerRequest } from "./callerRequest.js";
-import type { QuarantineKeeper } from "./quarantineKeeper.js";
-import type { ReplicaEnds } from "./replicaEnds.js";
+import type { QuarantineManager } from "./quarantineManager.js";
+import type { ReplicaEndDetector } from "./replicaEndDetector.js";
 import type { ReplicaSet } from "./replicaSet.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 import type { ReadHandle, UpstreamSend } from "./types.js";
 import type { ReplicaClient } from "./replicaClient.js";
 import type { UpstreamClient, UpstreamReply } from "./upstreamClient.js";
@@ -57,12 +57,12 @@
 
 export interface EngineCallsOptions {
   replicas: ReplicaSet;
-  ends: ReplicaEnds;
-  quarantine: Pick<QuarantineKeeper, "refusal">;
+  ends: ReplicaEndDetector;
+  quarantine: Pick<QuarantineManager, "refusal">;
   client: ReplicaClient;
   /** For calls to addresses whose replica is not known any more. */
   upstream: UpstreamClient;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   now: () => number;
 }
@@ -84,7 +84,7 @@
     cancellation: Cancellation,
     send: EngineSend,
   ): Promise<EngineReply> {
-    const { replicas, client, form } = this.options;
+    const { replicas, client, codec } = this.options;
     const replica = replicas.get(id);
     if (replica === undefined) {
       const why = "the replica is gone";
@@ -112,28 +112,28 @@
       permitAt: grantedAt,
       method: head.method,
       target: head.target,
-      headers: form.upstreamHeaders(head, whole, body.length),
+      headers: codec.upstreamHeaders(head, whole, body.length),
       body,
       cancellation,
     });
-    this.options.ends.follow(
+    this.options.ends.track(
       caller,
       replica,
       send.phase,
       outcome,
-      (res) => form.readReply(res.statusCode ?? 0, res.headers).isNotRun,
+      (res) => codec.readReply(res.statusCode ?? 0, res.headers).isNotRun,
     );
     return outcome.kind === "failed" ? outcome : { ...outcome, address };
   }
 
   /** An engine answers nothing at all while it has a request. */
   noteSilent(caller: CallerRequest, engine: string): void {
-    this.options.ends.onSilent(caller, engine);
+    this.options.ends.onStalled(caller, engine);
   }
 
   /** Tells the replica that nobody will take the handle. */
   free(service: string, handle: ReadHandle): void {
-    const { upstream, form, log, now } = this.options;
+    const { upstream, codec, log, now } = this.options;
     const begun = now();
     const cancellation = new BoundedCancellation(undefined, FREE_MS);
     void upstream
@@ -141,7 +141,7 @@
         service,
         address: handle.address,
         method: "DELETE",
-        target: form.freeHandlePath(handle),
+        target: codec.freeHandlePath(handle),
         headers: ["Host", handle.address, "Content-Length", "0"],
         body: Buffer.alloc(0),
         cancellation,
--- a/src/gateway/engineNews.ts
+++ b/src/gateway/engineNews.ts
@@ -56,7 +56,7 @@
     const { caller, grantId } = journey;
     const news = { kind: "wrong-stage" as const, id: grantId, engine };
     this.options.placement.note(caller.service, news);
-    this.options.replicas.deny(engine, this.options.now());
+    this.options.replicas.markMisdirected(engine, this.options.now());
     const why = "the engine does something else now";
     this.logFault(caller, engine, "place", why);
     return {
--- a/src/gateway/engineRun.ts
+++ b/src/gateway/engineRun.ts
@@ -31,7 +31,7 @@
     grant: Grant,
     handle: ReadHandle | undefined,
   ): Promise<Round> {
-    const { form, now } = this.options;
+    const { codec, now } = this.options;
     const { runner } = grant;
     const readsItself = grant.reader === undefined;
     const { caller, relay } = journey;
@@ -68,7 +68,7 @@
       return { ...sent, avoid: runner };
     }
     const { res } = sent;
-    const reply = form.readReply(res.statusCode ?? 0, res.headers);
+    const reply = codec.readReply(res.statusCode ?? 0, res.headers);
     if (reply.isMisdirected) {
       res.resume();
       return this.news.wrongStage(journey, runner);
@@ -91,8 +91,8 @@
     }
     const isGood = reply.status >= 200 && reply.status < 300;
     if (!isGood) return this.answerFailure(journey, sent, runner);
-    const headers = form.answerHeaders(res.rawHeaders);
-    caller.beginStream(reply.status, headers);
+    const headers = codec.answerHeaders(res.rawHeaders);
+    caller.startStream(reply.status, headers);
     const end = await relay.run(sent);
     const figures = { ...relay.figures() };
     switch (end.kind) {
@@ -127,9 +127,9 @@
     const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
     const status = res.statusCode ?? 0;
     const why = `engine failed with ${status}`;
-    const isFinal = whole.kind === "whole" && !caller.hasBegun;
+    const isFinal = whole.kind === "whole" && !caller.isResponseStarted;
     if (isFinal && !mayGoOn({ ...journey, verdict: "may-have-run" })) {
-      const headers = this.options.form.answerHeaders(res.rawHeaders);
+      const headers = this.options.codec.answerHeaders(res.rawHeaders);
       caller.answerWhole(status, headers, whole.body);
       return { kind: "done" };
     }
--- a/src/gateway/engineWatch.ts
+++ b/src/gateway/engineWatch.ts
@@ -6,7 +6,7 @@
 import { BoundedCancellation, Cancellation } from "../shared/cancellation.js";
 import { errText } from "../shared/utils.js";
 import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
-import { isOtherLife } from "./replicaSet.js";
+import { isDifferentIncarnation } from "./replicaSet.js";
 import type { EngineCallsOptions } from "./engineCalls.js";
 import { readWholeBody } from "./upstreamClient.js";
 
@@ -45,12 +45,12 @@
   }
 
   private async moodOf(service: string, id: string): Promise<EngineMood> {
-    const { replicas, client, form } = this.options;
+    const { replicas, client, codec } = this.options;
     const replica = replicas.get(id);
     if (replica === undefined) return "idle";
     const cancellation = new BoundedCancellation(undefined, REPORT_MS);
     try {
-      const call = form.reportCall(replica);
+      const call = codec.reportCall(replica);
       const purpose = "question";
       const sent = await client.send(replica, {
         ...call,
@@ -60,10 +60,10 @@
       if (sent.kind === "failed") return "silent";
       const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
       if (whole.kind === "cut") return "silent";
-      const report = form.readReport(whole.body.toString("utf8"));
+      const report = codec.readReport(whole.body.toString("utf8"));
       const { running, waiting } = report;
       // What started again has lost what the one before worked on.
-      if (isOtherLife(replica, report)) return "idle";
+      if (isDifferentIncarnation(replica, report)) return "idle";
       return running + waiting > 0 ? "working" : "idle";
     } finally {
       cancellation.dispose();
--- a/src/gateway/gatewayDaemon.ts
+++ b/src/gateway/gatewayDaemon.ts
@@ -25,24 +25,24 @@
  * How long a stopping gateway takes new requests, ms: the balancer notices
  * only after two questions, a second apart.
  */
-const STILL_TAKES_MS = 2600;
+const ACCEPT_ALL_MS = 2600;
 /** Time kept for the end itself at the end of the grace, ms. */
-const END_MARGIN_MS = 500;
+const SHUTDOWN_MARGIN_MS = 500;
 const DRAIN_POLL_MS = 50;
 /** Period of dividing a replica's connections among the entries, ms. */
-const CONNECTION_LIMITS_MS = 1000;
+const CONNECTION_LIMITS_INTERVAL_MS = 1000;
 /** Part of a replica's connections that entries use; the rest covers
  * entries that come and go, and orders. */
-const CONNECTION_PART = 0.8;
-const LEAST_CONNECTIONS = 2;
+const CONNECTION_FRACTION = 0.8;
+const MIN_CONNECTIONS = 2;
 /** Part of its VM's processor time that an entry may use to place for all. */
-const PLACING_PART = 0.5;
+const PLACEMENT_CPU_FRACTION = 0.5;
 
 /**
  * Part of the time for which a leaving replica goes on serving in which it is
  * used where there is no other; the rest covers callers' way to it.
  */
-const LAST_RESORT_PART = 0.5;
+const LAST_RESORT_FRACTION = 0.5;
 
 export interface GatewaySettings {
   /** Name of this process, unique in the fleet. */
@@ -74,7 +74,7 @@
   settings: GatewaySettings,
   parts: GatewayParts,
 ): Promise<Daemon> => {
-  const { form, source, feed, log, metrics, rng, now, leaseNow } = parts;
+  const { codec, source, feed, log, metrics, rng, now, leaseNow } = parts;
   const { domain, id } = settings;
   const supervisor = new Supervisor(log);
   const upstream = new UpstreamClient();
@@ -84,7 +84,7 @@
     now,
     leaseNow,
     (config) => server.setLimits(config.limits),
-    settings.drainMs * LAST_RESORT_PART,
+    settings.drainMs * LAST_RESORT_FRACTION,
   );
   const { replicas } = state;
   const rates = new RateLimits(rng);
@@ -92,7 +92,7 @@
     client: upstream,
     replicas,
     rates,
-    form,
+    codec,
     log,
     metrics,
     now,
@@ -101,7 +101,7 @@
     host: "entry",
     id,
     peerAddress: settings.peerAddress,
-    capacity: settings.processorShare * PLACING_PART,
+    capacity: settings.processorShare * PLACEMENT_CPU_FRACTION,
     orderLeaseMs: settings.leaseMs,
     keyBounds: settings.keyBounds,
     usage: settings.usage,
@@ -113,7 +113,7 @@
     feed,
     client,
     rates,
-    form,
+    codec,
     log,
     now,
   });
@@ -132,7 +132,7 @@
     quarantine,
     client,
     upstream,
-    form,
+    codec,
     budgets,
     domain,
     rng,
@@ -140,7 +140,7 @@
   };
   const server = new GatewayServer({
     state,
-    form,
+    codec,
     budgets,
     quarantine,
     keyBounds: settings.keyBounds,
@@ -155,13 +155,19 @@
   watchStore(supervisor, parts, state, settings.catchUpMs);
   role.start(supervisor);
   quarantine.start(supervisor);
-  supervisor.every("connection limits", CONNECTION_LIMITS_MS, async () => {
-    for (const { name, maxConnections } of state.services()) {
-      const entries = placement.entries(state.engineServices());
-      const most = Math.floor((maxConnections * CONNECTION_PART) / entries);
-      upstream.limitConnections(name, Math.max(LEAST_CONNECTIONS, most));
-    }
-  });
+  supervisor.every(
+    "connection limits",
+    CONNECTION_LIMITS_INTERVAL_MS,
+    async () => {
+      for (const { name, maxConnections } of state.services()) {
+        const entries = placement.entries(state.engineServices());
+        const limit = Math.floor(
+          (maxConnections * CONNECTION_FRACTION) / entries,
+        );
+        upstream.limitConnections(name, Math.max(MIN_CONNECTIONS, limit));
+      }
+    },
+  );
   let isStopping = false;
   const ready = http.createServer((_req, res) => {
     const isReady = state.isReady && !isStopping;
@@ -212,12 +218,12 @@
   graceMs: number,
   now: () => number,
 ): Promise<void> => {
-  const begun = now();
-  const endsAt = begun + graceMs - END_MARGIN_MS;
-  const takesAllUntil = begun + Math.min(STILL_TAKES_MS, graceMs / 2);
-  server.beginDrain({ takesAllUntil, endsAt });
+  const startedAt = now();
+  const endsAt = startedAt + graceMs - SHUTDOWN_MARGIN_MS;
+  const acceptsAllUntil = startedAt + Math.min(ACCEPT_ALL_MS, graceMs / 2);
+  server.beginDrain({ acceptsAllUntil, endsAt });
   while (now() < endsAt) {
-    if (now() > takesAllUntil && server.inFlight === 0) break;
+    if (now() > acceptsAllUntil && server.inFlight === 0) break;
     await sleep(DRAIN_POLL_MS);
   }
   server.http.close();
--- a/src/gateway/gatewayServer.ts
+++ b/src/gateway/gatewayServer.ts
@@ -9,9 +9,9 @@
 import type { Log, Metrics } from "../telemetry/index.js";
 import { CallerRequest, sendFailure } from "./callerRequest.js";
 import type { GatewayState } from "./gatewayState.js";
-import type { QuarantineKeeper } from "./quarantineKeeper.js";
-import { isFailure } from "./requestForm.js";
-import type { RequestForm } from "./requestForm.js";
+import type { QuarantineManager } from "./quarantineManager.js";
+import { isFailure } from "./requestCodec.js";
+import type { RequestCodec } from "./requestCodec.js";
 import type { RetryBudgets } from "./retryBudgets.js";
 import { drawService } from "./routeTable.js";
 import type { RouteTable } from "./routeTable.js";
@@ -27,7 +27,7 @@
 const NO_CONFIG_RETRY_MS = 500;
 
 /** Another process answers then, ms. */
-const LEAVING_RETRY_MS = 100;
+const STOPPING_RETRY_MS = 100;
 
 /** Serves one request whose service has been drawn. */
 export interface RequestRunner {
@@ -36,9 +36,9 @@
 
 export interface GatewayServerOptions {
   state: GatewayState;
-  form: RequestForm;
+  codec: RequestCodec;
   budgets: RetryBudgets;
-  quarantine: Pick<QuarantineKeeper, "admit" | "settle">;
+  quarantine: Pick<QuarantineManager, "admit" | "onRequestEnd">;
   keyBounds: KeyBounds;
   /** A request of a workspace began to run `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void;
@@ -51,7 +51,7 @@
 }
 
 /** What was found for a request before its body is read. */
-interface Way {
+interface Destination {
   route: Route;
   service: string;
   claim: KeyClaim;
@@ -68,14 +68,14 @@
   retryAfterMs: NO_CONFIG_RETRY_MS,
 };
 
-const LEAVING: RequestFailure = {
+const STOPPING: RequestFailure = {
   ...failure(503, "leaving", "this process is about to stop"),
-  retryAfterMs: LEAVING_RETRY_MS,
+  retryAfterMs: STOPPING_RETRY_MS,
 };
 
 /** Instants of a planned stop, ms. */
 export interface Drain {
-  takesAllUntil: number;
+  acceptsAllUntil: number;
   endsAt: number;
 }
 
@@ -85,7 +85,7 @@
   inFlight = 0;
   private drain: Drain | undefined;
   /** Longest time that callers gave, ms, by route. */
-  private readonly fullDeadlines = new Map<string, number>();
+  private readonly maxDeadlines = new Map<string, number>();
 
   constructor(private readonly options: GatewayServerOptions) {
     this.http = http.createServer(
@@ -125,19 +125,26 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
-    const { form, state, now } = this.options;
+    const { codec, state, now } = this.options;
     const arrivedAt = now();
-    const head = form.decode(req);
+    const head = codec.decode(req);
     if (isFailure(head)) return this.refuse(req, res, "", head);
     const table = state.routes;
     if (table === undefined) return this.refuse(req, res, head.id, NO_CONFIG);
-    const way = this.findWay(head, table);
-    if ("verdict" in way) return this.refuse(req, res, head.id, way);
+    const destination = this.resolveDestination(head, table);
+    if ("verdict" in destination)
+      return this.refuse(req, res, head.id, destination);
     const limit = table.config.limits.maxBodyBytes;
     const body = await this.readBody(req, res, head, limit);
     if (body === undefined) return;
-    const caller = this.admit(res, head, way, body, arrivedAt);
-    const isEngine = table.service(way.service)?.engine !== undefined;
+    const caller = this.createCallerRequest(
+      res,
+      head,
+      destination,
+      body,
+      arrivedAt,
+    );
+    const isEngine = table.service(destination.service)?.engine !== undefined;
     const flow = isEngine ? this.options.stream : this.options.plain;
     const { quarantine } = this.options;
     const barred = await quarantine.admit(caller);
@@ -145,12 +152,15 @@
     try {
       await flow.run(caller);
     } finally {
-      quarantine.settle(caller);
+      quarantine.onRequestEnd(caller);
     }
   }
 
   /** Where it goes and for whom it runs, or why it is refused. */
-  private findWay(head: InboundHead, table: RouteTable): Way | RequestFailure {
+  private resolveDestination(
+    head: InboundHead,
+    table: RouteTable,
+  ): Destination | RequestFailure {
     const { state, rng, keyBounds } = this.options;
     const route = table.match(head.host, head.target);
     const service = route && drawService(route, rng);
@@ -165,15 +175,15 @@
       bounds: keyBounds,
     });
     if (verdict.kind === "refused") return verdict.failure;
-    if (!this.mayTake(route, head)) return LEAVING;
+    if (!this.accepts(route, head)) return STOPPING;
     return { route, service, claim: verdict.claim };
   }
 
-  private mayTake(route: Route, head: InboundHead): boolean {
+  private accepts(route: Route, head: InboundHead): boolean {
     if (this.drain === undefined) return true;
     const now = this.options.now();
-    const { takesAllUntil, endsAt } = this.drain;
-    if (now < takesAllUntil) return true;
+    const { acceptsAllUntil, endsAt } = this.drain;
+    if (now < acceptsAllUntil) return true;
     const budgetMs = Math.min(
       head.deadlineMs ?? route.timeoutMs,
       route.timeoutMs,
@@ -181,15 +191,15 @@
     return now + budgetMs < endsAt;
   }
 
-  private admit(
+  private createCallerRequest(
     res: ServerResponse,
     head: InboundHead,
-    { route, service, claim }: Way,
+    { route, service, claim }: Destination,
     body: Buffer,
     arrivedAt: number,
   ): CallerRequest {
-    const { form, log, metrics, now, budgets, onBegun } = this.options;
-    budgets.earn(service);
+    const { codec, log, metrics, now, budgets, onBegun } = this.options;
+    budgets.recordRequest(service);
     return new CallerRequest({
       res,
       head,
@@ -199,19 +209,19 @@
       body,
       arrivedAt,
       onBegun,
-      form,
+      codec,
       log,
       metrics,
       now,
       configVersion: this.options.state.routes?.version ?? 0,
-      fullDeadlineMs: this.fullDeadline(route, head),
+      maxDeadlineMs: this.maxDeadlineOf(route, head),
     });
   }
 
-  private fullDeadline(route: Route, head: InboundHead): number {
-    const known = this.fullDeadlines.get(route.name) ?? 0;
+  private maxDeadlineOf(route: Route, head: InboundHead): number {
+    const known = this.maxDeadlines.get(route.name) ?? 0;
     const longest = Math.max(known, head.deadlineMs ?? 0);
-    if (longest > known) this.fullDeadlines.set(route.name, longest);
+    if (longest > known) this.maxDeadlines.set(route.name, longest);
     return longest;
   }
 
@@ -240,7 +250,7 @@
     id: string,
     why: RequestFailure,
   ): void {
-    const { form, log, metrics } = this.options;
+    const { codec, log, metrics } = this.options;
     metrics.count("request", { class: "none", outcome: why.code });
     log.info("request", {
       requestId: id,
@@ -249,6 +259,6 @@
       configuration: this.options.state.routes?.version,
     });
     req.resume();
-    sendFailure(res, form, why, id);
+    sendFailure(res, codec, why, id);
   }
 }
--- a/src/gateway/holderWork.ts
+++ b/src/gateway/holderWork.ts
@@ -9,7 +9,7 @@
 import { CacheSurvey } from "./cacheSurvey.js";
 import type { GatewayState } from "./gatewayState.js";
 import type { ReplicaClient } from "./replicaClient.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 import { StageKeeper } from "./stageKeeper.js";
 
 export interface HolderWorkOptions {
@@ -24,7 +24,7 @@
   placement: SharedPlacement;
   client: ReplicaClient;
   rates: RateLimits;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   now: () => number;
 }
@@ -70,7 +70,7 @@
 
   private newKeeper(service: string): StageKeeper {
     const { id, orderLeaseMs, state, local, placement, ...rest } = this.options;
-    const { client, rates, form, log, now } = rest;
+    const { client, rates, codec, log, now } = rest;
     return new StageKeeper({
       service,
       self: id,
@@ -80,7 +80,7 @@
       authority: placement,
       client,
       rates,
-      form,
+      codec,
       log,
       now,
     });
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -4,7 +4,11 @@
 export { startScheduler } from "./schedulerDaemon.js";
 export type { SchedulerSettings } from "./schedulerDaemon.js";
 export type { GatewaySource } from "./gatewayState.js";
-export type { FailureAnswer, ReplicaCall, RequestForm } from "./requestForm.js";
+export type {
+  FailureAnswer,
+  ReplicaCall,
+  RequestCodec,
+} from "./requestCodec.js";
 export type {
   EngineReport,
   GatewayConfig,
--- a/src/gateway/journey.ts
+++ b/src/gateway/journey.ts
@@ -5,7 +5,7 @@
 import { worseVerdict } from "../shared/verdict.js";
 import type { CallerRequest } from "./callerRequest.js";
 import { StreamRelay } from "./streamRelay.js";
-import { overdueFailure } from "./verdicts.js";
+import { deadlineFailure } from "./verdicts.js";
 
 /** Rounds of placement of one request at the most. */
 const MAX_ROUNDS = 4;
@@ -79,7 +79,7 @@
   verdict: Verdict = "not-run",
 ): Round => {
   const worse = worseVerdict(journey.verdict, verdict);
-  return { kind: "refused", failure: overdueFailure(worse) };
+  return { kind: "refused", failure: deadlineFailure(worse) };
 };
 
 /**
@@ -94,10 +94,10 @@
   const { caller, avoid, grantId } = journey;
   const { prompt } = caller.head;
   const elapsedMs = caller.elapsedMs();
-  const objectiveMs = caller.hasBegun
+  const objectiveMs = caller.isResponseStarted
     ? caller.leftMs()
     : caller.route.objectiveMs - elapsedMs;
-  const silenceMs = caller.hasBegun
+  const silenceMs = caller.isResponseStarted
     ? caller.leftMs()
     : caller.route.silenceMs - elapsedMs;
   return {
--- a/src/gateway/parts.ts
+++ b/src/gateway/parts.ts
@@ -4,11 +4,11 @@
 import type { Log, Metrics } from "../telemetry/index.js";
 import type { DutyPort } from "../workspaces/index.js";
 import type { GatewaySource } from "./gatewayState.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 
 /** Ports and helpers that a process is given besides its settings. */
 export interface GatewayParts {
-  form: RequestForm;
+  codec: RequestCodec;
   source: GatewaySource;
   feed: ObjectFeed;
   log: Log;
--- a/src/gateway/placementRole.ts
+++ b/src/gateway/placementRole.ts
@@ -18,7 +18,7 @@
 import { HolderWork } from "./holderWork.js";
 import { KeyProof } from "./keyProof.js";
 import type { ReplicaClient } from "./replicaClient.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 
 /**
  * Lease of placing, ms. Shorter than that of orders: placing needs no
@@ -60,7 +60,7 @@
   feed: ObjectFeed;
   client: ReplicaClient;
   rates: RateLimits;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   now: () => number;
 }
@@ -113,7 +113,7 @@
     isFresh: (service) => placement.isFresh(service),
     leaseMark: (service) => placement.leaseMark(service),
     configNews: (known) => state.configNews(known),
-    onLeaving: (engine) => state.replicas.signals.leave(engine, now()),
+    onLeaving: (engine) => state.replicas.signals.markLeaving(engine, now()),
     onUsage: (process, window) => duties?.onTold(process, window),
     rates: () => rates.all(now()),
     onRate: (news) => placement.permits.learn([news]),
@@ -123,7 +123,7 @@
   const serviceOf = (replica: string): string =>
     state.replicas.get(replica)?.service ?? "";
   rates.shareOf = (replica) => placement.permits.share(serviceOf(replica));
-  client.onRate = (news) =>
+  client.onRateChange = (news) =>
     placement.permits.tell(serviceOf(news.replica), news);
   const duties = newDuties(options, placement);
   address = await peers.listen(options.peerAddress);
--- a/src/gateway/plainFlow.ts
+++ b/src/gateway/plainFlow.ts
@@ -12,27 +12,27 @@
 import type { CallerRequest } from "./callerRequest.js";
 import { PlainPermits } from "./plainPermits.js";
 import type { PermitSource } from "./plainPermits.js";
-import type { QuarantineKeeper } from "./quarantineKeeper.js";
-import type { ReplicaEnds } from "./replicaEnds.js";
+import type { QuarantineManager } from "./quarantineManager.js";
+import type { ReplicaEndDetector } from "./replicaEndDetector.js";
 import type { ReplicaClient } from "./replicaClient.js";
 import type { ReplicaSet } from "./replicaSet.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 import type { RetryBudgets } from "./retryBudgets.js";
 import type { Replica, ReplyHead } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 import {
   afterBackOffMs,
   failureOf,
-  overdueFailure,
+  deadlineFailure,
   replyFault,
 } from "./verdicts.js";
 
 /** Largest answer that is held whole, bytes. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 /** A replica in another failure domain counts as this many requests busier. */
-const OTHER_DOMAIN_COST = 1;
+const CROSS_DOMAIN_COST = 1;
 /** Replicas whose health is remembered, the newest first. */
-const MAX_HEALTH = 4096;
+const MAX_HEALTH_ENTRIES = 4096;
 /** Sends of one request at the most, refusals included. */
 const MAX_SENDS = 4;
 const HTTP_SERVER_ERROR = 500;
@@ -40,10 +40,10 @@
 
 export interface PlainFlowOptions {
   replicas: ReplicaSet;
-  ends: ReplicaEnds;
-  quarantine: Pick<QuarantineKeeper, "refusal">;
+  ends: ReplicaEndDetector;
+  quarantine: Pick<QuarantineManager, "refusal">;
   client: ReplicaClient;
-  form: RequestForm;
+  codec: RequestCodec;
   budgets: RetryBudgets;
   rates: RateLimits;
   permits: PermitSource;
@@ -72,7 +72,7 @@
 export class PlainFlow {
   private readonly inFlight = new Map<string, number>();
   private readonly health = new LRUCache<string, Health>({
-    max: MAX_HEALTH,
+    max: MAX_HEALTH_ENTRIES,
   });
   private readonly permits: PlainPermits;
 
@@ -88,23 +88,23 @@
     let runs = 0;
     let arrivals = 0;
     let answer: Attempt | undefined;
-    const mostSends = caller.isTrial ? 1 : MAX_SENDS;
-    for (let sends = 0; sends < mostSends;) {
+    const maxSends = caller.isTrial ? 1 : MAX_SENDS;
+    for (let sends = 0; sends < maxSends;) {
       const barred = this.options.quarantine.refusal(caller);
       if (barred !== undefined && answer === undefined) {
         return caller.fail(barred);
       }
       if (barred !== undefined) break;
-      const replica = this.choose(caller, tried);
+      const replica = this.chooseReplica(caller, tried);
       if (replica === undefined) break;
-      const permit = await this.permits.ask(caller.service, replica.id);
+      const permit = await this.permits.acquire(caller.service, replica.id);
       if (caller.cancellation.isCancelled) break;
       if (permit.kind === "held-back") {
         why = AT_LIMIT;
         continue;
       }
       sends += 1;
-      if (arrivals > 0 && !budgets.spend(caller.service)) break;
+      if (arrivals > 0 && !budgets.tryRetry(caller.service)) break;
       tried.add(replica.id);
       const sentTo = caller.sentTo.length;
       const attempt = await this.attempt(caller, replica, permit.permitAt);
@@ -112,7 +112,7 @@
       if (attempt.kind === "answer") {
         answer = attempt;
         runs += 1;
-        if (!this.isWorthAnother(caller, attempt, runs)) break;
+        if (!this.shouldRetryAnswer(caller, attempt, runs)) break;
         continue;
       }
       verdict = worseVerdict(verdict, attempt.verdict);
@@ -126,7 +126,7 @@
       const { head, headers, body } = answer;
       return caller.answerWhole(head.status, headers, body);
     }
-    if (caller.isOverdue) return caller.fail(overdueFailure(verdict));
+    if (caller.isPastDeadline) return caller.fail(deadlineFailure(verdict));
     caller.fail(failureOf(verdict, why, this.retryAfterMs(caller)));
   }
 
@@ -138,12 +138,12 @@
     const { replicas, now, rng } = this.options;
     const { signals } = replicas;
     const heldUntil = (id: string) => this.permits.heldUntil(id);
-    const leftMs = signals.allBackOffLeftMs(service, now(), heldUntil);
+    const leftMs = signals.untilAvailableMs(service, now(), heldUntil);
     return leftMs > 0 ? afterBackOffMs(leftMs, rng) : undefined;
   }
 
   /** A safe request that a replica failed may do better elsewhere. */
-  private isWorthAnother(
+  private shouldRetryAnswer(
     caller: CallerRequest,
     attempt: Attempt & { kind: "answer" },
     runs: number,
@@ -154,7 +154,7 @@
     return caller.elapsedMs() < route.objectiveMs;
   }
 
-  private choose(
+  private chooseReplica(
     caller: CallerRequest,
     tried: ReadonlySet<string>,
   ): Replica | undefined {
@@ -171,7 +171,7 @@
     let best: { replica: Replica; cost: number } | undefined;
     for (const replica of candidates) {
       const busy = this.inFlight.get(replica.id) ?? 0;
-      const cost = busy + (replica.domain === domain ? 0 : OTHER_DOMAIN_COST);
+      const cost = busy + (replica.domain === domain ? 0 : CROSS_DOMAIN_COST);
       if (best === undefined || cost < best.cost) best = { replica, cost };
     }
     return best?.replica;
@@ -191,8 +191,8 @@
       const sentAt = this.options.now();
       const attempt = await this.exchange(caller, replica, permitAt);
       const hasRun = attempt.kind === "answer" || attempt.verdict !== "not-run";
-      if (hasRun) caller.noteBegun(this.options.now() - sentAt);
-      this.learn(id, attempt, caller);
+      if (hasRun) caller.markBegun(this.options.now() - sentAt);
+      this.updateHealth(id, attempt, caller);
       return attempt;
     } finally {
       const left = (this.inFlight.get(id) ?? 1) - 1;
@@ -206,13 +206,13 @@
     replica: Replica,
     permitAt: number | undefined,
   ): Promise<Attempt> {
-    const { client, form } = this.options;
+    const { client, codec } = this.options;
     const { head, body, route, claim } = caller;
     // A safe request that has missed its objective here tries elsewhere.
-    const mayLeave = route.kind === "safe" && route.maxAttempts > 1;
+    const mayRetryElsewhere = route.kind === "safe" && route.maxAttempts > 1;
     const cancellation = new BoundedCancellation(
       caller.cancellation,
-      mayLeave ? route.objectiveMs : undefined,
+      mayRetryElsewhere ? route.objectiveMs : undefined,
     );
     const send = {
       replicaName: replica.name,
@@ -227,16 +227,16 @@
         permitAt,
         method: head.method,
         target: head.target,
-        headers: form.upstreamHeaders(head, send, body.length),
+        headers: codec.upstreamHeaders(head, send, body.length),
         body,
         cancellation,
       });
-      this.options.ends.follow(
+      this.options.ends.track(
         caller,
         replica,
         "run",
         outcome,
-        (res) => form.readReply(res.statusCode ?? 0, res.headers).isNotRun,
+        (res) => codec.readReply(res.statusCode ?? 0, res.headers).isNotRun,
       );
       if (outcome.kind === "failed") {
         if (outcome.isUnavailable === true) return unavailable(outcome.why);
@@ -244,7 +244,7 @@
         return { ...outcome, fault: isSent ? "broken" : "unreachable" };
       }
       const { res } = outcome;
-      const reply = form.readReply(res.statusCode ?? 0, res.headers);
+      const reply = codec.readReply(res.statusCode ?? 0, res.headers);
       const wrong = replyFault(reply, head.id);
       if (wrong !== undefined) {
         res.destroy();
@@ -270,7 +270,7 @@
           fault: "broken",
         };
       }
-      const headers = form.answerHeaders(res.rawHeaders);
+      const headers = codec.answerHeaders(res.rawHeaders);
       return { kind: "answer", head: reply, headers, body: whole.body };
     } finally {
       cancellation.dispose();
@@ -285,7 +285,11 @@
       : "refused";
   }
 
-  private learn(id: string, attempt: Attempt, caller: CallerRequest): void {
+  private updateHealth(
+    id: string,
+    attempt: Attempt,
+    caller: CallerRequest,
+  ): void {
     if (caller.isCallerGone) return;
     if (attempt.kind === "failed" && attempt.fault === "unavailable") return;
     const now = this.options.now();
@@ -294,7 +298,8 @@
       this.health.set(id, afterSuccess(health, now));
       return;
     }
-    if (attempt.fault === "gone") this.options.replicas.deny(id, now);
+    if (attempt.fault === "gone")
+      this.options.replicas.markMisdirected(id, now);
     const isAway = attempt.fault === "unreachable" || attempt.fault === "gone";
     const next = afterFailure(health, now, isAway);
     this.health.set(id, next);
--- a/src/gateway/promptReader.ts
+++ b/src/gateway/promptReader.ts
@@ -74,7 +74,7 @@
     { reader, cacheSource, grantedAt }: ReadOrder,
     stop: Cancellation,
   ): Promise<ReadOutcome> {
-    const { form } = this.options;
+    const { codec } = this.options;
     const sent = await this.calls.send(caller, reader, stop, {
       deadlineMs: Math.round(caller.leftMs()),
       phase: "read",
@@ -86,7 +86,7 @@
       return { kind, why: sent.why };
     }
     const { res, address } = sent;
-    const reply = form.readReply(res.statusCode ?? 0, res.headers);
+    const reply = codec.readReply(res.statusCode ?? 0, res.headers);
     const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
     if (reply.isMisdirected) return { kind: "wrong-stage" };
     if (reply.isNotRun || reply.status !== 200) {
@@ -100,7 +100,7 @@
       return { kind: "failed", why: "the answer belongs to another request" };
     }
     if (whole.kind === "cut") return { kind: "failed", why: whole.why };
-    const handle = form.readHandle(address, whole.body.toString("utf8"));
+    const handle = codec.readHandle(address, whole.body.toString("utf8"));
     if (handle !== undefined) return { kind: "read", handle };
     return { kind: "failed", why: "the answer names no handle" };
   }
--- a/src/gateway/quarantineKeeper.ts
+++ b/src/gateway/quarantineManager.ts
@@ -9,46 +9,46 @@
 import type { Supervisor } from "../tasks/index.js";
 import type { Log, Metrics } from "../telemetry/index.js";
 import type { CallerRequest } from "./callerRequest.js";
-import { barsIn, QuarantineStore } from "./quarantineStore.js";
+import { parseBars, QuarantineStore } from "./quarantineStore.js";
 import type { QuarantineStoreOptions } from "./quarantineStore.js";
-import { QuarantineTrials, trialSends } from "./quarantineTrials.js";
-import type { ReplicaEnd } from "./replicaEnds.js";
+import { QuarantineTrials, maxTrialSends } from "./quarantineTrials.js";
+import type { ReplicaEnd } from "./replicaEndDetector.js";
 
 /** Period of looking whether there is anything to share, ms. */
-const STEP_MS = 50;
+const SHARE_INTERVAL_MS = 50;
 /**
  * Ends of one replica are told request by request, and a popular request
  * that was there by chance ends well elsewhere meanwhile, ms.
  */
-const GATHER_MS = 100;
+const BATCH_DELAY_MS = 100;
 /** Pause after a call to the store that failed, ms. */
 const RETRY_MS = 500;
 /** Writes of the bars in a row that may meet other writers. */
 const MAX_CONFLICTS = 4;
 const MS_PER_SECOND = 1000;
 
-export interface QuarantineKeeperOptions extends QuarantineStoreOptions {
+export interface QuarantineManagerOptions extends QuarantineStoreOptions {
   log: Log;
   metrics: Metrics;
   now: () => number;
   wallNow: () => number;
 }
 
-export class QuarantineKeeper {
+export class QuarantineManager {
   private readonly quarantine: Quarantine;
   private readonly store: QuarantineStore;
   private readonly trials: QuarantineTrials;
   /** Steps of the bars in the store, and those that were logged. */
-  private storedSteps = new Map<string, number>();
-  private loggedSteps = new Map<string, number>();
+  private storedBarSteps = new Map<string, number>();
+  private loggedBarSteps = new Map<string, number>();
   private hasRestored = false;
   /** Since when there is something to tell, ms. */
-  private newsSince: number | undefined;
+  private unsharedSince: number | undefined;
   /** An end is among the news, so that the others' records matter. */
   private hasNewEnds = false;
   private retryAt = 0;
 
-  constructor(private readonly options: QuarantineKeeperOptions) {
+  constructor(private readonly options: QuarantineManagerOptions) {
     const { self, log, now, wallNow } = options;
     this.quarantine = new Quarantine(self, now, wallNow);
     this.store = new QuarantineStore(options);
@@ -56,35 +56,40 @@
   }
 
   start(supervisor: Supervisor): void {
-    supervisor.every("quarantine", STEP_MS, () => this.step());
+    supervisor.every("quarantine", SHARE_INTERVAL_MS, () => this.step());
   }
 
   onEnd({ replica, requests }: ReplicaEnd): void {
     this.quarantine.noteEnd(requests, replica.id);
-    this.newsSince ??= this.options.now();
+    this.unsharedSince ??= this.options.now();
     this.hasNewEnds = true;
-    this.announce();
+    this.logBarChanges();
   }
 
   onSurvived(caller: CallerRequest): void {
     if (!this.quarantine.mightKnow(caller.body.length)) return;
     this.trials.noteSurvived(caller);
     const isNews = this.quarantine.noteSurvived(caller.digest);
-    if (isNews) this.newsSince ??= this.options.now();
+    if (isNews) this.unsharedSince ??= this.options.now();
   }
 
   /** What lies beside the configuration in the store. */
   onStatus(status: unknown): void {
-    const bars = barsIn(status);
-    this.storedSteps = new Map(bars.map(({ digest, step }) => [digest, step]));
+    const bars = parseBars(status);
+    this.storedBarSteps = new Map(
+      bars.map(({ digest, step }) => [digest, step]),
+    );
     this.quarantine.learnBars(bars);
-    this.announce();
+    this.logBarChanges();
   }
 
   /** Before anything is done for a request: why it may not run. */
   async admit(caller: CallerRequest): Promise<RequestFailure | undefined> {
     if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
-    const verdict = this.quarantine.verdict(caller.digest, trialSends(caller));
+    const verdict = this.quarantine.verdict(
+      caller.digest,
+      maxTrialSends(caller),
+    );
     if (verdict.kind === "free") return undefined;
     const mayTry = verdict.kind === "may-try";
     if (mayTry && (await this.trials.claim(caller))) return undefined;
@@ -101,8 +106,8 @@
   }
 
   /** A request is over. */
-  settle(caller: CallerRequest): void {
-    if (this.trials.settle(caller)) this.announce();
+  onRequestEnd(caller: CallerRequest): void {
+    if (this.trials.endTrial(caller)) this.logBarChanges();
   }
 
   /** Shares what is new; only then calls are made. */
@@ -120,9 +125,10 @@
 
   private async share(now: number): Promise<boolean> {
     if (!this.hasRestored) await this.restore();
-    const { newsSince } = this;
-    const isDue = newsSince !== undefined && now - newsSince >= GATHER_MS;
-    if (isDue && !(await this.shareEnds(newsSince))) return false;
+    const { unsharedSince } = this;
+    const isDue =
+      unsharedSince !== undefined && now - unsharedSince >= BATCH_DELAY_MS;
+    if (isDue && !(await this.shareEnds(unsharedSince))) return false;
     return !this.hasUnstoredBars || (await this.shareBars());
   }
 
@@ -132,12 +138,12 @@
     this.quarantine.restore(own);
     this.quarantine.learnEnds(all);
     this.hasRestored = true;
-    this.announce();
+    this.logBarChanges();
   }
 
   private async shareEnds(since: number): Promise<boolean> {
     const { hasNewEnds } = this;
-    this.newsSince = undefined;
+    this.unsharedSince = undefined;
     this.hasNewEnds = false;
     let isShared = false;
     try {
@@ -146,7 +152,7 @@
       if (isWritten && hasNewEnds) await this.learnEnds();
       isShared = isWritten;
     } finally {
-      if (!isShared) this.newsSince = since;
+      if (!isShared) this.unsharedSince = since;
       if (!isShared) this.hasNewEnds ||= hasNewEnds;
     }
     return isShared;
@@ -155,13 +161,15 @@
   private async learnEnds(): Promise<void> {
     const { all } = await this.store.readEnds();
     this.quarantine.learnEnds([...all, this.quarantine.toRecord()]);
-    this.announce();
+    this.logBarChanges();
   }
 
   private get hasUnstoredBars(): boolean {
     return this.quarantine
       .allBars()
-      .some(({ digest, step }) => step > (this.storedSteps.get(digest) ?? 0));
+      .some(
+        ({ digest, step }) => step > (this.storedBarSteps.get(digest) ?? 0),
+      );
   }
 
   private async shareBars(): Promise<boolean> {
@@ -184,10 +192,12 @@
   }
 
   /** Logs each step of each bar once. */
-  private announce(): void {
+  private logBarChanges(): void {
     const bars = this.quarantine.allBars();
-    const before = this.loggedSteps;
-    this.loggedSteps = new Map(bars.map(({ digest, step }) => [digest, step]));
+    const before = this.loggedBarSteps;
+    this.loggedBarSteps = new Map(
+      bars.map(({ digest, step }) => [digest, step]),
+    );
     for (const bar of bars) {
       const { digest, step, state, lives, sends, by } = bar;
       if (step <= (before.get(digest) ?? 0)) continue;
--- a/src/gateway/quarantineRole.ts
+++ b/src/gateway/quarantineRole.ts
@@ -1,13 +1,13 @@
 /** What an entry needs to bar requests that end the replicas that run them. */
 import type { GatewayParts } from "./parts.js";
 import type { GatewayState } from "./gatewayState.js";
-import { QuarantineKeeper } from "./quarantineKeeper.js";
-import { ReplicaEnds } from "./replicaEnds.js";
+import { QuarantineManager } from "./quarantineManager.js";
+import { ReplicaEndDetector } from "./replicaEndDetector.js";
 import type { UpstreamClient } from "./upstreamClient.js";
 
 export interface QuarantineRole {
-  ends: ReplicaEnds;
-  quarantine: QuarantineKeeper;
+  ends: ReplicaEndDetector;
+  quarantine: QuarantineManager;
 }
 
 /** `self`: name of this process. */
@@ -19,16 +19,16 @@
 ): QuarantineRole => {
   const { source, feed, log, metrics, now, wallNow } = parts;
   const { replicas } = state;
-  const ends = new ReplicaEnds({ replicas, client, log, metrics, now });
+  const ends = new ReplicaEndDetector({ replicas, client, log, metrics, now });
   const store = { self, state, source, feed };
-  const quarantine = new QuarantineKeeper({
+  const quarantine = new QuarantineManager({
     ...store,
     log,
     metrics,
     now,
     wallNow,
   });
-  state.onGone = (replica) => ends.onGone(replica);
+  state.onGone = (replica) => ends.onReplicaRemoved(replica);
   state.onStatus = (status) => quarantine.onStatus(status);
   ends.onEnd = (end) => quarantine.onEnd(end);
   ends.onSurvived = (caller) => quarantine.onSurvived(caller);
--- a/src/gateway/quarantineStore.ts
+++ b/src/gateway/quarantineStore.ts
@@ -33,7 +33,7 @@
   typeof value === "object" && value !== null ? { ...value } : {};
 
 /** Bars that can be read; others are another writer's, and say nothing. */
-export const barsIn = (status: unknown): Bar[] => {
+export const parseBars = (status: unknown): Bar[] => {
   const listed = fieldsOf(status)[BARS_FIELD];
   if (!Array.isArray(listed)) return [];
   return listed.flatMap((item) => {
@@ -42,12 +42,12 @@
   });
 };
 
-const endsIn = ({ value }: FeedItem): EndRecord => {
+const parseEnds = ({ value }: FeedItem): EndRecord => {
   const read = endsSchema.safeParse(value);
   return read.success ? read.data : {};
 };
 
-const newerOf = (
+const newerItem = (
   left: FeedItem | undefined,
   right: FeedItem | undefined,
 ): FeedItem | undefined =>
@@ -71,9 +71,9 @@
 
 export class QuarantineStore {
   /** Of this process's object. */
-  private revision = ABSENT;
+  private ownRevision = ABSENT;
   /** The configuration's object as a write has met it; it may be unreadable. */
-  private met: FeedItem | undefined;
+  private conflictItem: FeedItem | undefined;
 
   constructor(private readonly options: QuarantineStoreOptions) {}
 
@@ -82,31 +82,31 @@
     const { feed, self } = this.options;
     const { items } = await feed.list(ENDS_KIND);
     const own = items.find(({ name }) => name === self);
-    if (own !== undefined) this.revision = own.revision;
+    if (own !== undefined) this.ownRevision = own.revision;
     return {
-      all: items.map(endsIn),
-      own: own === undefined ? {} : endsIn(own),
+      all: items.map(parseEnds),
+      own: own === undefined ? {} : parseEnds(own),
     };
   }
 
   /** Whether it took effect. */
   async writeEnds(record: EndRecord): Promise<boolean> {
     const { feed, self } = this.options;
-    const result = await feed.write(ENDS_KIND, self, record, this.revision);
-    if (result.kind === "written") this.revision = result.item.revision;
+    const result = await feed.write(ENDS_KIND, self, record, this.ownRevision);
+    if (result.kind === "written") this.ownRevision = result.item.revision;
     // Only this process writes it: an answer that was lost, or an earlier life.
     if (result.kind === "conflict") {
-      this.revision = result.current?.revision ?? ABSENT;
+      this.ownRevision = result.current?.revision ?? ABSENT;
     }
     // The next write finds out whether the store's copy has the object.
-    if (result.kind === "went-back") this.revision = ABSENT;
+    if (result.kind === "went-back") this.ownRevision = ABSENT;
     return result.kind === "written";
   }
 
   /** One conditional write; what another has written meanwhile is learnt. */
   async writeBars(bars: readonly Bar[]): Promise<BarsWrite> {
     const { state, feed, source } = this.options;
-    const item = newerOf(state.storedConfig, this.met);
+    const item = newerItem(state.storedConfig, this.conflictItem);
     // Written over a status that was not read, the others' bars would go.
     if (item?.status === undefined) return "failed";
     const status = { ...fieldsOf(item.status), [BARS_FIELD]: bars };
@@ -118,7 +118,7 @@
         return "written";
       case "conflict":
         if (result.current === undefined) return "failed";
-        this.met = result.current;
+        this.conflictItem = result.current;
         state.onConfigItem(result.current);
         return "conflict";
       case "refused":
--- a/src/gateway/quarantineTrials.ts
+++ b/src/gateway/quarantineTrials.ts
@@ -13,7 +13,7 @@
 const ENGINE_TRIAL_SENDS = 2;
 
 /** Sends to replicas that a trial of a request may take. */
-export const trialSends = (caller: CallerRequest): number =>
+export const maxTrialSends = (caller: CallerRequest): number =>
   caller.head.prompt === undefined ? 1 : ENGINE_TRIAL_SENDS;
 
 interface TrialRun {
@@ -43,7 +43,7 @@
     if (this.claiming.has(digest)) return false;
     this.claiming.add(digest);
     try {
-      return await this.ask(caller);
+      return await this.claimInStore(caller);
     } finally {
       this.claiming.delete(digest);
     }
@@ -56,7 +56,7 @@
   }
 
   /** A request is over; whether it was a trial. */
-  settle(caller: CallerRequest): boolean {
+  endTrial(caller: CallerRequest): boolean {
     const run = this.runs.get(caller);
     if (run === undefined) return false;
     this.runs.delete(caller);
@@ -73,9 +73,9 @@
     return true;
   }
 
-  private async ask(caller: CallerRequest): Promise<boolean> {
+  private async claimInStore(caller: CallerRequest): Promise<boolean> {
     const { digest } = caller;
-    const reserved = trialSends(caller);
+    const reserved = maxTrialSends(caller);
     for (let round = 0; round < MAX_CONFLICTS; round += 1) {
       const verdict = this.quarantine.verdict(digest, reserved);
       if (verdict.kind !== "may-try") return false;
--- a/src/gateway/replicaClient.ts
+++ b/src/gateway/replicaClient.ts
@@ -12,7 +12,7 @@
 import type { RateLimits, RateNews } from "../rateLimits/index.js";
 import type { Log, LogFields, Metrics } from "../telemetry/index.js";
 import type { ReplicaSet } from "./replicaSet.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 import type { Replica, ReplicaSignal } from "./types.js";
 import { UnknownHeaders } from "./unknownHeaders.js";
 import type {
@@ -25,22 +25,22 @@
  * A replica at whose address nobody listens is left out for this, ms, and then
  * probed by one send: a restart takes seconds.
  */
-const REFUSED_MS = 1000;
+const REFUSED_BACK_OFF_MS = 1000;
 /** Of a header in a log line. */
 const MAX_LOGGED_CHARS = 80;
 /** Replicas whose unreadable signals are remembered, to log each once. */
-const MAX_UNREAD = 1024;
+const MAX_UNPARSED = 1024;
 /**
  * A permit is good for so long, ms. A send that is held up on its way, by a
  * read elsewhere or a wait for a connection, must not add to those that follow
  * it: with this and the stock of permits, what reaches a replica in any four
  * seconds stays below one and a half times its limit.
  */
-const PERMIT_HOLDS_MS = 1500;
+const PERMIT_VALID_MS = 1500;
 const AT_LIMIT = "the replica takes no more for the moment";
 
 /** Log lines of what a replica has come to say. */
-const MESSAGES = {
+const SIGNAL_MESSAGES = {
   leaving: "replica is leaving",
   "backing-off": "replica asks for back-off",
 } as const;
@@ -67,30 +67,32 @@
 }
 
 /** What was sent, as far as its answer is judged by it. */
-interface Sent {
+interface SentRequest {
   purpose: SendPurpose;
   requestId: string | undefined;
   /** When it left. */
-  leftAt: number;
+  sentAt: number;
 }
 
 export interface ReplicaClientOptions {
   client: UpstreamClient;
   replicas: ReplicaSet;
   rates: RateLimits;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   metrics: Metrics;
   now: () => number;
 }
 
 export class ReplicaClient {
-  private readonly unread = new LRUCache<string, string>({ max: MAX_UNREAD });
+  private readonly loggedUnparsed = new LRUCache<string, string>({
+    max: MAX_UNPARSED,
+  });
   private readonly unknownHeaders: UnknownHeaders;
   /** Told of each replica that is heard to leave. */
   onLeaving: (replica: Replica) => void = () => undefined;
   /** Told of each change of the rate that a replica says it takes. */
-  onRate: (news: RateNews) => void = () => undefined;
+  onRateChange: (news: RateNews) => void = () => undefined;
 
   constructor(private readonly options: ReplicaClientOptions) {
     const { log, metrics } = options;
@@ -107,9 +109,9 @@
     if (why !== undefined) {
       return { kind: "failed", verdict: "not-run", why, isUnavailable: true };
     }
-    let leftAt = now();
+    let sentAt = now();
     const refusal = (): string | undefined => {
-      leftAt = now();
+      sentAt = now();
       return isWork ? this.refusalNow(replica, permitAt) : undefined;
     };
     const outcome = await client.send({
@@ -119,8 +121,8 @@
       refusal,
     });
     if (outcome.kind === "reply")
-      this.note(replica, { purpose, requestId, leftAt }, outcome.res);
-    else if (outcome.isRefused === true) this.noteRefused(replica);
+      this.handleReply(replica, { purpose, requestId, sentAt }, outcome.res);
+    else if (outcome.isRefused === true) this.onConnectionRefused(replica);
     return outcome;
   }
 
@@ -136,13 +138,13 @@
     permitAt = -Infinity,
   ): string | undefined {
     const { replicas, rates, metrics, now } = this.options;
-    const why = replicas.signals.take(id, now());
+    const why = replicas.signals.refusalAtSend(id, now());
     if (why !== undefined) {
       metrics.count("kept_from_unavailable", {});
       return why;
     }
     if (!rates.isLimited(id, now())) return undefined;
-    const isPermitted = now() - permitAt <= PERMIT_HOLDS_MS;
+    const isPermitted = now() - permitAt <= PERMIT_VALID_MS;
     if (!isPermitted && !rates.acquire(id, now())) {
       metrics.count("kept_from_limited", {});
       return AT_LIMIT;
@@ -151,26 +153,30 @@
     return undefined;
   }
 
-  private note(replica: Replica, sent: Sent, res: IncomingMessage): void {
-    const { replicas, form, log, metrics, now } = this.options;
+  private handleReply(
+    replica: Replica,
+    sent: SentRequest,
+    res: IncomingMessage,
+  ): void {
+    const { replicas, codec, log, metrics, now } = this.options;
     const status = res.statusCode ?? 0;
-    const signal = form.readSignal(status, res.headers);
-    const reply = form.readReply(status, res.headers);
+    const signal = codec.readSignal(status, res.headers);
+    const reply = codec.readReply(status, res.headers);
     const { requestId } = sent;
     const isOther =
       reply.requestId !== undefined && reply.requestId !== requestId;
     const isProven = requestId === undefined || !isOther;
     const { id, service, address } = replica;
-    this.logUnread(id, signal);
-    this.unknownHeaders.note(form.unknownHeaders(res.headers), id);
+    this.logUnparsed(id, signal);
+    this.unknownHeaders.report(codec.unknownHeaders(res.headers), id);
     const fields = { replica: id, service, address, status, isProven };
     const isGood = isProven && status >= 200 && status < 300;
-    this.noteRate(id, sent, signal, isGood, fields);
-    const change = replicas.signals.note(id, signal, isProven, now());
+    this.updateRateLimit(id, sent, signal, isGood, fields);
+    const change = replicas.signals.record(id, signal, isProven, now());
     if (change === undefined) return;
     metrics.count("replica_signal", { kind: change });
     const { backOffMs } = signal;
-    log.info(MESSAGES[change], { ...fields, backOffMs });
+    log.info(SIGNAL_MESSAGES[change], { ...fields, backOffMs });
     if (change === "leaving" && isProven) this.onLeaving(replica);
   }
 
@@ -178,44 +184,48 @@
    * Nobody listens there. Its entry stays listed for seconds, and where it is
    * the last of its stage every request would try it.
    */
-  private noteRefused({ id }: Replica): void {
+  private onConnectionRefused({ id }: Replica): void {
     const { replicas, metrics, now } = this.options;
-    const signal = { isLeaving: false, backOffMs: REFUSED_MS };
-    const change = replicas.signals.note(id, signal, true, now());
+    const signal = { isLeaving: false, backOffMs: REFUSED_BACK_OFF_MS };
+    const change = replicas.signals.record(id, signal, true, now());
     if (change !== undefined) metrics.count("replica_refused", {});
   }
 
   /** `isGood`: it is the request's own answer, and a success. */
-  private noteRate(
+  private updateRateLimit(
     id: string,
-    { purpose, leftAt }: Sent,
+    { purpose, sentAt }: SentRequest,
     { limitPerS, unreadLimit }: ReplicaSignal,
     isGood: boolean,
     fields: LogFields,
   ): void {
     const { rates, log, metrics, now } = this.options;
     const mayEnd = purpose === "work" && isGood && unreadLimit === undefined;
-    const word = { perS: limitPerS, mayEnd, sentAt: leftAt };
+    const word = { perS: limitPerS, mayEnd, sentAt };
     const news = rates.hear(id, word, now());
     if (news === undefined) return;
     const isEnd = news.endedAgoMs !== undefined;
     metrics.count("replica_signal", { kind: isEnd ? "unlimited" : "limited" });
     if (isEnd) log.info("replica names no rate limit any more", fields);
     else log.info("replica names a rate limit", { ...fields, limitPerS });
-    this.onRate(news);
+    this.onRateChange(news);
   }
 
-  private logUnread(replica: string, signal: ReplicaSignal): void {
+  private logUnparsed(replica: string, signal: ReplicaSignal): void {
     const { unreadBackOff, unreadLimit } = signal;
     if (unreadBackOff !== undefined)
-      this.logUnreadText(replica, "back-off can't be read", unreadBackOff);
+      this.logUnparsedText(replica, "back-off can't be read", unreadBackOff);
     if (unreadLimit !== undefined)
-      this.logUnreadText(replica, "rate limit can't be read", unreadLimit);
+      this.logUnparsedText(replica, "rate limit can't be read", unreadLimit);
   }
 
-  private logUnreadText(replica: string, message: string, text: string): void {
-    if (this.unread.get(replica) === text) return;
-    this.unread.set(replica, text);
+  private logUnparsedText(
+    replica: string,
+    message: string,
+    text: string,
+  ): void {
+    if (this.loggedUnparsed.get(replica) === text) return;
+    this.loggedUnparsed.set(replica, text);
     const said = text.slice(0, MAX_LOGGED_CHARS);
     this.options.log.warn(message, { replica, said });
   }
--- a/src/gateway/replicaEnds.ts
+++ b/src/gateway/replicaEndDetector.ts
@@ -21,9 +21,9 @@
  * A request whose caller left so shortly before the end of its replica may
  * still have run there, ms; most replicas drop it at once.
  */
-const LEFT_MS = 1000;
+const CALLER_LEFT_MS = 1000;
 /** Pause between two looks at one address, ms: answers break off in crowds. */
-const LOOK_PAUSE_MS = 100;
+const PROBE_INTERVAL_MS = 100;
 /** Replicas whose broken answers are remembered at the most. */
 const MAX_REPLICAS = 256;
 /** Requests of one replica that are remembered; it has no more slots. */
@@ -41,7 +41,7 @@
   requests: string[];
 }
 
-export interface ReplicaEndsOptions {
+export interface ReplicaEndDetectorOptions {
   replicas: ReplicaSet;
   client: UpstreamClient;
   log: Log;
@@ -50,28 +50,28 @@
 }
 
 /** What was at one replica when answers of it broke off. */
-interface BrokenAnswers {
+interface InterruptedAnswers {
   replica: Replica;
   /** By digest: until when an end counts as its own, ms. */
   requests: Map<string, number>;
   evidence: EndEvidence | undefined;
   /** Its address is looked at, or was a moment ago. */
-  isAsked: boolean;
+  isProbing: boolean;
   /** An answer broke off after that look had begun. */
-  mustAskAgain: boolean;
+  mustProbeAgain: boolean;
 }
 
-export class ReplicaEnds {
-  private readonly broken = new Map<string, BrokenAnswers>();
+export class ReplicaEndDetector {
+  private readonly interrupted = new Map<string, InterruptedAnswers>();
   /** Told of each end, and of requests that turn out to have been there. */
   onEnd: (end: ReplicaEnd) => void = () => undefined;
   /** A run ended and its replica lived on. */
   onSurvived: (caller: CallerRequest) => void = () => undefined;
 
-  constructor(private readonly options: ReplicaEndsOptions) {}
+  constructor(private readonly options: ReplicaEndDetectorOptions) {}
 
   /** Follows one send to its end. `isRefused`: the replica did not run it. */
-  follow(
+  track(
     caller: CallerRequest,
     replica: Replica,
     phase: UpstreamSend["phase"],
@@ -79,55 +79,55 @@
     isRefused: (res: IncomingMessage) => boolean,
   ): void {
     if (outcome.kind === "failed") {
-      if (outcome.verdict !== "not-run") this.onBroken(caller, replica);
+      if (outcome.verdict !== "not-run") this.onInterrupted(caller, replica);
       return;
     }
     const { res, isWhole } = outcome;
     res.once("close", () => {
-      if (!isWhole()) return this.onBroken(caller, replica);
-      this.onWhole(replica);
+      if (!isWhole()) return this.onInterrupted(caller, replica);
+      this.onCompleteAnswer(replica);
       if (phase === "run" && !isRefused(res)) this.onSurvived(caller);
     });
   }
 
   /** It says nothing: an end that no connection tells of. */
-  onSilent(caller: CallerRequest, replicaId: string): void {
+  onStalled(caller: CallerRequest, replicaId: string): void {
     const replica = this.options.replicas.get(replicaId);
-    if (replica !== undefined) this.onBroken(caller, replica);
+    if (replica !== undefined) this.onInterrupted(caller, replica);
   }
 
   /** The list has lost a replica. */
-  onGone(replica: Replica): void {
-    const known = this.broken.get(replica.id);
+  onReplicaRemoved(replica: Replica): void {
+    const known = this.interrupted.get(replica.id);
     if (known === undefined || replica.state !== "ready") return;
     this.confirm(known, "left the list");
   }
 
   /** It answers: whatever spoke for its end was something else. */
-  private onWhole(replica: Replica): void {
-    if (this.broken.get(replica.id)?.evidence === undefined) return;
-    this.broken.delete(replica.id);
+  private onCompleteAnswer(replica: Replica): void {
+    if (this.interrupted.get(replica.id)?.evidence === undefined) return;
+    this.interrupted.delete(replica.id);
   }
 
-  private onBroken(caller: CallerRequest, replica: Replica): void {
+  private onInterrupted(caller: CallerRequest, replica: Replica): void {
     // One that was leaving has ended as planned.
     const listed = this.options.replicas.get(replica.id);
     if (listed?.state !== "ready") return;
     const now = this.options.now();
-    const known = this.brokenAt(replica);
+    const known = this.recordFor(replica);
     // Where the caller left, the connection was broken from here.
     const hasLeft = caller.cancellation.isCancelled;
-    const until = now + (hasLeft ? LEFT_MS : CONFIRM_MS);
+    const until = now + (hasLeft ? CALLER_LEFT_MS : CONFIRM_MS);
     this.remember(known, caller.digest, until);
     if (known.evidence !== undefined) {
-      if (!hasLeft) this.tell(known, [caller.digest]);
+      if (!hasLeft) this.report(known, [caller.digest]);
       return;
     }
-    if (!hasLeft) this.look(known);
+    if (!hasLeft) this.probe(known);
   }
 
   private remember(
-    { requests }: BrokenAnswers,
+    { requests }: InterruptedAnswers,
     digest: string,
     until: number,
   ): void {
@@ -142,52 +142,55 @@
     requests.set(digest, Math.max(until, requests.get(digest) ?? 0));
   }
 
-  private brokenAt(replica: Replica): BrokenAnswers {
+  private recordFor(replica: Replica): InterruptedAnswers {
     const life = replica.id;
-    const known = this.broken.get(life);
+    const known = this.interrupted.get(life);
     if (known !== undefined) return known;
-    const fresh: BrokenAnswers = {
+    const fresh: InterruptedAnswers = {
       replica,
       requests: new Map(),
       evidence: undefined,
-      isAsked: false,
-      mustAskAgain: false,
+      isProbing: false,
+      mustProbeAgain: false,
     };
-    this.broken.set(life, fresh);
-    const [oldest] = this.broken.keys();
-    if (this.broken.size > MAX_REPLICAS && oldest !== undefined) {
-      this.broken.delete(oldest);
+    this.interrupted.set(life, fresh);
+    const [oldest] = this.interrupted.keys();
+    if (this.interrupted.size > MAX_REPLICAS && oldest !== undefined) {
+      this.interrupted.delete(oldest);
     }
     return fresh;
   }
 
   /** Where somebody listens still, the list may yet tell of its end. */
-  private look(known: BrokenAnswers): void {
-    known.mustAskAgain = known.isAsked;
-    if (known.isAsked) return;
-    known.isAsked = true;
+  private probe(known: InterruptedAnswers): void {
+    known.mustProbeAgain = known.isProbing;
+    if (known.isProbing) return;
+    known.isProbing = true;
     void this.options.client.probe(known.replica.address).then((found) => {
       if (found === "refused") return this.confirm(known, "nobody listens");
       setTimeout(() => {
-        known.isAsked = false;
-        if (known.mustAskAgain) this.look(known);
-      }, LOOK_PAUSE_MS).unref();
+        known.isProbing = false;
+        if (known.mustProbeAgain) this.probe(known);
+      }, PROBE_INTERVAL_MS).unref();
     });
   }
 
-  private confirm(known: BrokenAnswers, evidence: EndEvidence): void {
+  private confirm(known: InterruptedAnswers, evidence: EndEvidence): void {
     if (known.evidence !== undefined) return;
     known.evidence = evidence;
     this.options.metrics.count("replica_ended", { how: evidence });
     const now = this.options.now();
     const there = [...known.requests].filter(([, until]) => until >= now);
-    this.tell(
+    this.report(
       known,
       there.map(([digest]) => digest),
     );
   }
 
-  private tell({ replica, evidence }: BrokenAnswers, requests: string[]): void {
+  private report(
+    { replica, evidence }: InterruptedAnswers,
+    requests: string[],
+  ): void {
     if (evidence === undefined || requests.length === 0) return;
     this.options.log.info("replica ended", {
       replica: replica.id,
--- a/src/gateway/replicaSet.ts
+++ b/src/gateway/replicaSet.ts
@@ -13,20 +13,20 @@
  * replicas write again within two seconds; the bound on leaving replicas is
  * two seconds on the smallest deployments, so it ends a little before.
  */
-export const VANISHED_KEEP_MS = 1700;
+export const VANISHED_GRACE_MS = 1700;
 
 /**
  * How long a replica is not used that another answered for, ms. The entry of
  * one that has crashed goes after three heartbeats, a few seconds.
  */
-const DENIED_MS = 4000;
+const MISDIRECTED_MS = 4000;
 
-interface Known {
+interface SetEntry {
   replica: Replica;
   /** Revision of the entry's last change in the store. */
   revision: number;
   /** Not used until then: it answered that it is another one, ms. */
-  deniedUntil: number;
+  misdirectedUntil: number;
   /** Instant at which its entry vanished, ms. */
   vanishedAt: number | undefined;
 }
@@ -43,21 +43,28 @@
   replica: Replica;
 };
 
-const isNewer = (left: Known, right: Known, now: number): boolean => {
-  const isLeftDenied = left.deniedUntil > now;
-  const isRightDenied = right.deniedUntil > now;
+const takesPrecedence = (
+  left: SetEntry,
+  right: SetEntry,
+  now: number,
+): boolean => {
+  const isLeftDenied = left.misdirectedUntil > now;
+  const isRightDenied = right.misdirectedUntil > now;
   if (isLeftDenied !== isRightDenied) return isRightDenied;
   return left.revision > right.revision;
 };
 
 /** An entry that does not say when its life began goes on with the known one. */
-const inLifeOf = (entry: Replica, known: Replica | undefined): Replica => {
+const withKnownIncarnation = (
+  entry: Replica,
+  known: Replica | undefined,
+): Replica => {
   const isSilent = entry.bornAt === undefined && known !== undefined;
   return isSilent ? { ...entry, id: known.id, bornAt: known.bornAt } : entry;
 };
 
 /** Whether a report comes from another life than the one that is known. */
-export const isOtherLife = (
+export const isDifferentIncarnation = (
   replica: Replica,
   report: Pick<EngineReport, "bornAt">,
 ): boolean =>
@@ -69,9 +76,9 @@
   /** What they have said of themselves. */
   readonly signals: ReplicaSignals;
   /** By id of the life. */
-  private readonly known = new Map<string, Known>();
+  private readonly entries = new Map<string, SetEntry>();
   /** Ids of the lives that names stand for. */
-  private readonly lives = new Map<string, string>();
+  private readonly idsByName = new Map<string, string>();
   private services: ReadonlySet<string> | undefined;
   /** Grows with each change. */
   revision = 0;
@@ -82,7 +89,7 @@
   }
 
   get(id: string): Replica | undefined {
-    return this.known.get(id)?.replica;
+    return this.entries.get(id)?.replica;
   }
 
   /**
@@ -91,8 +98,8 @@
    */
   put(entry: Replica, revision = 0, now = 0): ReplicaChange[] {
     const before = this.byName(entry.name);
-    const replica = inLifeOf(entry, before?.replica);
-    const known = this.known.get(replica.id);
+    const replica = withKnownIncarnation(entry, before?.replica);
+    const known = this.entries.get(replica.id);
     const isOlderLife =
       (replica.bornAt ?? 0) < (before?.replica.bornAt ?? 0) ||
       (known !== undefined && revision < known.revision);
@@ -102,13 +109,13 @@
       changes.push(this.delete(before.replica));
     }
     // A store that comes back from a copy may say `ready` of it once more.
-    if (replica.state === "draining") this.signals.leave(replica.id, now);
+    if (replica.state === "draining") this.signals.markLeaving(replica.id, now);
     this.revision += 1;
-    this.lives.set(replica.name, replica.id);
-    this.known.set(replica.id, {
+    this.idsByName.set(replica.name, replica.id);
+    this.entries.set(replica.id, {
       replica,
       revision,
-      deniedUntil: known?.deniedUntil ?? 0,
+      misdirectedUntil: known?.misdirectedUntil ?? 0,
       vanishedAt: undefined,
     });
     changes.push({ kind: known === undefined ? "added" : "changed", replica });
@@ -144,7 +151,7 @@
   ): ReplicaChange[] {
     const names = new Set(listed.map(({ replica }) => replica.name));
     const changes: ReplicaChange[] = [];
-    for (const name of [...this.lives.keys()]) {
+    for (const name of [...this.idsByName.keys()]) {
       if (names.has(name)) continue;
       const change = this.remove(name, now, inTrouble);
       if (change !== undefined) changes.push(change);
@@ -165,34 +172,34 @@
     return this.services?.has(name) ?? true;
   }
 
-  private byName(name: string): Known | undefined {
-    const id = this.lives.get(name);
-    return id === undefined ? undefined : this.known.get(id);
+  private byName(name: string): SetEntry | undefined {
+    const id = this.idsByName.get(name);
+    return id === undefined ? undefined : this.entries.get(id);
   }
 
   private delete(replica: Replica): ReplicaChange {
     this.revision += 1;
-    this.known.delete(replica.id);
-    this.lives.delete(replica.name);
+    this.entries.delete(replica.id);
+    this.idsByName.delete(replica.name);
     return { kind: "gone", replica };
   }
 
   /** Gives up what vanished too long ago. */
   expire(now: number): ReplicaChange[] {
     const gone: ReplicaChange[] = [];
-    for (const { replica, vanishedAt } of [...this.known.values()]) {
+    for (const { replica, vanishedAt } of [...this.entries.values()]) {
       if (vanishedAt === undefined) continue;
-      if (now - vanishedAt < VANISHED_KEEP_MS) continue;
+      if (now - vanishedAt < VANISHED_GRACE_MS) continue;
       gone.push(this.delete(replica));
     }
     return gone;
   }
 
   /** Another one answered at its address: it is not used for a while. */
-  deny(id: string, now: number): void {
-    const known = this.known.get(id);
+  markMisdirected(id: string, now: number): void {
+    const known = this.entries.get(id);
     if (known === undefined) return;
-    known.deniedUntil = now + DENIED_MS;
+    known.misdirectedUntil = now + MISDIRECTED_MS;
     this.revision += 1;
   }
 
@@ -203,12 +210,12 @@
    * service that the configuration does not name takes no place.
    */
   usable(service: string, now: number): Replica[] {
-    const newest = new Map<string, Known>();
-    for (const known of this.known.values()) {
+    const newest = new Map<string, SetEntry>();
+    for (const known of this.entries.values()) {
       const { address } = known.replica;
       if (!this.isService(known.replica.service)) continue;
       const other = newest.get(address);
-      if (other === undefined || isNewer(known, other, now)) {
+      if (other === undefined || takesPrecedence(known, other, now)) {
         newest.set(address, known);
       }
     }
@@ -216,26 +223,30 @@
     for (const { replica, vanishedAt } of newest.values()) {
       if (replica.service !== service || replica.state !== "ready") continue;
       const isLost =
-        vanishedAt !== undefined && now - vanishedAt >= VANISHED_KEEP_MS;
+        vanishedAt !== undefined && now - vanishedAt >= VANISHED_GRACE_MS;
       if (!isLost) found.push(replica);
     }
-    return this.signals.staying(found, now);
+    return this.signals.withoutLeaving(found, now);
   }
 
   /** Until when `usable` gives the same if nothing changes, ms. */
   usableUntil(now: number): number {
     const { signals } = this;
     let until = Infinity;
-    for (const { replica, vanishedAt, deniedUntil } of this.known.values()) {
-      if (deniedUntil > now) until = Math.min(until, deniedUntil);
-      until = Math.min(until, signals.leavingUntil(replica.id, now));
+    for (const {
+      replica,
+      vanishedAt,
+      misdirectedUntil,
+    } of this.entries.values()) {
+      if (misdirectedUntil > now) until = Math.min(until, misdirectedUntil);
+      until = Math.min(until, signals.leavingUnchangedUntil(replica.id, now));
       if (vanishedAt === undefined) continue;
-      until = Math.min(until, vanishedAt + VANISHED_KEEP_MS);
+      until = Math.min(until, vanishedAt + VANISHED_GRACE_MS);
     }
     return until;
   }
 
   get size(): number {
-    return this.known.size;
+    return this.entries.size;
   }
 }
--- a/src/gateway/replicaSignals.ts
+++ b/src/gateway/replicaSignals.ts
@@ -6,8 +6,8 @@
 import type { Replica, ReplicaSignal } from "./types.js";
 import { Availability } from "./availability.js";
 import type {
-  Unavailable,
-  UnavailableLife,
+  UnavailableReason,
+  UnavailableReplica,
   SignalChange,
 } from "./availability.js";
 
@@ -34,20 +34,20 @@
    * An answer of that life says this of it; `isProven`: the answer belongs to
    * the request that was sent.
    */
-  note(
+  record(
     id: string,
     signal: ReplicaSignal,
     isProven: boolean,
     now: number,
   ): SignalChange {
-    const change = this.availability.note(id, signal, isProven, now);
+    const change = this.availability.record(id, signal, isProven, now);
     if (change !== undefined) this.replicas.revision += 1;
     return change;
   }
 
   /** Another process heard it say that it leaves. */
-  leave(id: string, now: number): void {
-    const change = this.availability.leave(id, now);
+  markLeaving(id: string, now: number): void {
+    const change = this.availability.markLeaving(id, now);
     if (change !== undefined) this.replicas.revision += 1;
   }
 
@@ -57,32 +57,33 @@
   }
 
   /** The same for work that leaves now. */
-  take(id: string, now: number): string | undefined {
-    return this.refusalFor(id, now, this.availability.take(id, now));
+  refusalAtSend(id: string, now: number): string | undefined {
+    return this.refusalFor(id, now, this.availability.refusalAtSend(id, now));
   }
 
   /** Replicas of a service that want no work of this process now. */
-  unavailable(service: string, now: number): string[] {
-    return this.spoken(service, now).flatMap(({ life }) =>
-      this.refusal(life, now) === undefined ? [] : [life],
+  unavailableIds(service: string, now: number): string[] {
+    return this.unavailableOfService(service, now).flatMap(({ id }) =>
+      this.refusal(id, now) === undefined ? [] : [id],
     );
   }
 
   /** Instants at which back-offs of a service's replicas end. */
   backOffEnds(service: string, now: number): Map<string, number> {
     const ends = new Map<string, number>();
-    for (const { life, why } of this.spoken(service, now)) {
-      if (why.kind === "backing-off") ends.set(life, why.untilMs);
+    for (const { id, reason } of this.unavailableOfService(service, now)) {
+      if (reason.kind === "backing-off") ends.set(id, reason.untilMs);
     }
     return ends;
   }
 
   /** Replicas of a service that have said something that counts. */
-  private spoken(service: string, now: number): UnavailableLife[] {
-    const all = this.availability.all(now);
-    return all.filter(
-      ({ life }) => this.replicas.get(life)?.service === service,
-    );
+  private unavailableOfService(
+    service: string,
+    now: number,
+  ): UnavailableReplica[] {
+    const all = this.availability.unavailableReplicas(now);
+    return all.filter(({ id }) => this.replicas.get(id)?.service === service);
   }
 
   /** Whether it wants no work now. */
@@ -94,7 +95,7 @@
    * Where all that may be used back off: time until the first end, ms; else 0.
    * `heldUntil`: until when a replica is left out for another reason.
    */
-  allBackOffLeftMs(
+  untilAvailableMs(
     service: string,
     now: number,
     heldUntil: (id: string) => number = () => now,
@@ -109,7 +110,7 @@
   private refusalFor(
     id: string,
     now: number,
-    unavailable: Unavailable | undefined,
+    unavailable: UnavailableReason | undefined,
   ): string | undefined {
     if (this.replicas.get(id)?.state !== "ready") {
       return "the replica is leaving or gone";
@@ -122,7 +123,7 @@
   }
 
   /** Those that leave only where there is no other, and for a short time. */
-  staying(replicas: Replica[], now: number): Replica[] {
+  withoutLeaving(replicas: Replica[], now: number): Replica[] {
     const { availability } = this;
     const staying = replicas.filter(
       ({ id }) => availability.refusal(id, now)?.kind !== "leaving",
@@ -132,7 +133,7 @@
   }
 
   /** Until when its signal that it leaves means the same, ms. */
-  leavingUntil(id: string, now: number): number {
-    return this.availability.leavingUntil(id, now);
+  leavingUnchangedUntil(id: string, now: number): number {
+    return this.availability.leavingUnchangedUntil(id, now);
   }
 }
--- a/src/gateway/requestForm.ts
+++ b/src/gateway/requestCodec.ts
@@ -30,7 +30,7 @@
   body: Buffer;
 }
 
-export interface RequestForm {
+export interface RequestCodec {
   /** Decodes a caller's head; a failure if it can't be served. */
   decode(req: IncomingMessage): InboundHead | RequestFailure;
   /** Headers of a send to a replica, names and values in turn. */
--- a/src/gateway/retryBudgets.ts
+++ b/src/gateway/retryBudgets.ts
@@ -9,12 +9,12 @@
 import { SlidingCount } from "../shared/slidingCount.js";
 
 /** Part of the allowed ratio that is used; the rest covers the spread. */
-const USED_PART = 0.75;
+const USED_FRACTION = 0.75;
 /**
  * Entries among which the fleet's stock is divided at least: in a rush, further
  * sends of a whole stock at once only hold up other requests.
  */
-const LEAST_ENTRIES = 32;
+const MIN_ENTRIES = 32;
 
 export interface RetryLimits {
   /** Allowed sends beyond the first, a request. */
@@ -27,7 +27,7 @@
 /** What one service has had in the last window. */
 interface Counts {
   requests: SlidingCount;
-  further: SlidingCount;
+  retries: SlidingCount;
 }
 
 export class RetryBudgets {
@@ -41,25 +41,25 @@
   ) {}
 
   /** A request came: it earns a part of a further send. */
-  earn(service: string): void {
+  recordRequest(service: string): void {
     this.countsOf(service).requests.add(1, this.now());
   }
 
   /** Takes one further send, if there is one. */
-  spend(service: string): boolean {
+  tryRetry(service: string): boolean {
     const { ratio, burst } = this.limits;
-    const { requests, further } = this.countsOf(service);
+    const { requests, retries } = this.countsOf(service);
     const now = this.now();
-    const stock = burst / Math.max(LEAST_ENTRIES, this.entries() ?? 0);
-    const allowed = requests.atLeast(now) * ratio * USED_PART + stock;
-    if (further.atMost(now) + 1 > allowed) return false;
-    further.add(1, now);
+    const stock = burst / Math.max(MIN_ENTRIES, this.entries() ?? 0);
+    const allowed = requests.atLeast(now) * ratio * USED_FRACTION + stock;
+    if (retries.atMost(now) + 1 > allowed) return false;
+    retries.add(1, now);
     return true;
   }
 
   /** So many further sends were made without asking. */
-  charge(service: string, sends: number): void {
-    this.countsOf(service).further.add(sends, this.now());
+  recordRetries(service: string, sends: number): void {
+    this.countsOf(service).retries.add(sends, this.now());
   }
 
   private countsOf(service: string): Counts {
@@ -68,7 +68,7 @@
     const { windowMs } = this.limits;
     const fresh = {
       requests: new SlidingCount(windowMs),
-      further: new SlidingCount(windowMs),
+      retries: new SlidingCount(windowMs),
     };
     this.counts.set(service, fresh);
     return fresh;
--- a/src/gateway/schedulerDaemon.ts
+++ b/src/gateway/schedulerDaemon.ts
@@ -34,7 +34,7 @@
   settings: SchedulerSettings,
   parts: GatewayParts,
 ): Promise<Daemon> => {
-  const { form, source, feed, log, metrics, rng, now, leaseNow } = parts;
+  const { codec, source, feed, log, metrics, rng, now, leaseNow } = parts;
   const { id } = settings;
   const supervisor = new Supervisor(log);
   const upstream = new UpstreamClient();
@@ -45,7 +45,7 @@
     client: upstream,
     replicas,
     rates,
-    form,
+    codec,
     log,
     metrics,
     now,
@@ -66,7 +66,7 @@
     feed,
     client,
     rates,
-    form,
+    codec,
     log,
     now,
   });
--- a/src/gateway/stageKeeper.ts
+++ b/src/gateway/stageKeeper.ts
@@ -12,10 +12,10 @@
 import type { RateLimits } from "../rateLimits/index.js";
 import { BoundedCancellation } from "../shared/cancellation.js";
 import type { Log } from "../telemetry/index.js";
-import { isOtherLife } from "./replicaSet.js";
+import { isDifferentIncarnation } from "./replicaSet.js";
 import type { ReplicaClient, SendPurpose } from "./replicaClient.js";
 import type { ReplicaSet } from "./replicaSet.js";
-import type { ReplicaCall, RequestForm } from "./requestForm.js";
+import type { ReplicaCall, RequestCodec } from "./requestCodec.js";
 import type { Replica } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
@@ -45,7 +45,7 @@
   authority: HolderAuthority;
   client: ReplicaClient;
   rates: Pick<RateLimits, "binds">;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   now: () => number;
 }
@@ -165,21 +165,21 @@
     stage: Stage,
     fence: number,
   ): Promise<OrderOutcome> {
-    const { form, self, service, authority, replicas, now } = this.options;
+    const { codec, self, service, authority, replicas, now } = this.options;
     const asked = await this.call(
       replica,
-      form.reportCall(replica),
+      codec.reportCall(replica),
       "question",
     );
     if (asked.kind !== "accepted") return { ...asked, kind: "refused" };
-    const report = form.readReport(asked.why);
+    const report = codec.readReport(asked.why);
     if (report.isBusy) return { kind: "refused", why: "it is busy" };
-    if (isOtherLife(replica, report)) {
-      replicas.deny(replica.id, now());
+    if (isDifferentIncarnation(replica, report)) {
+      replicas.markMisdirected(replica.id, now());
       return { kind: "refused", why: "it has started again" };
     }
     const { orders } = report;
-    const order = form.stageOrder(replica, stage, self, fence, orders);
+    const order = codec.stageOrder(replica, stage, self, fence, orders);
     if (!authority.isFresh(service) || authority.epoch(service) !== fence) {
       return { kind: "refused", why: "the lease is not fresh" };
     }
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -69,7 +69,7 @@
       const sends = caller.sentTo.length - sentBefore;
       // A further round was paid for as one send, and may have been two.
       if (sentBefore > 0 && sends > 1)
-        budgets.charge(caller.service, sends - 1);
+        budgets.recordRetries(caller.service, sends - 1);
       if (round.kind === "done") return;
       if (round.kind === "refused") return this.giveUp(journey, round.failure);
       journey.verdict = worseVerdict(journey.verdict, round.verdict);
@@ -77,7 +77,7 @@
       if (caller.isCallerGone) return;
       const failure = failureOf(journey.verdict, round.why);
       if (!mayGoOn(journey)) return this.giveUp(journey, failure);
-      if (sends > 0 && !budgets.spend(caller.service))
+      if (sends > 0 && !budgets.tryRetry(caller.service))
         return this.giveUp(journey, failure);
     }
   }
@@ -141,7 +141,7 @@
     const { placement, replicas, domain, now } = this.options;
     const { caller, grantId } = journey;
     const { service } = caller;
-    const unavailable = replicas.signals.unavailable(service, now());
+    const unavailable = replicas.signals.unavailableIds(service, now());
     return new Promise((resolve, reject) => {
       const off = caller.cancellation.onCancel(() => {
         placement.withdraw(service, grantId);
@@ -201,14 +201,14 @@
       this.calls.free(caller.service, read.handle);
       return overdueRound(journey);
     }
-    if (caller.isOverdue) return overdueRound(journey);
+    if (caller.isPastDeadline) return overdueRound(journey);
     this.news.logFault(caller, reader, "read", read.why);
     return { kind: "failed", verdict: "not-run", why: read.why, avoid: reader };
   }
 
   private noteBegun(journey: Journey): void {
     const { caller, grantId } = journey;
-    caller.noteBegun();
+    caller.markBegun();
     journey.firstEventMs = this.options.now() - journey.runSentAt;
     if (!journey.readsAtRunner) return;
     const event = { kind: "begun" as const, id: grantId };
--- a/src/gateway/unknownHeaders.ts
+++ b/src/gateway/unknownHeaders.ts
@@ -19,7 +19,7 @@
   ) {}
 
   /** `names`: of one answer of that replica. */
-  note(names: readonly string[], replica: string): void {
+  report(names: readonly string[], replica: string): void {
     for (const name of names) {
       if (this.seen.has(name) || this.seen.size >= MAX_NAMES) continue;
       this.seen.add(name);
--- a/src/gateway/upstreamClient.ts
+++ b/src/gateway/upstreamClient.ts
@@ -11,11 +11,11 @@
 import type { Verdict } from "../shared/verdict.js";
 
 /** A connection that is not up by then counts as failed, ms. */
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 /** Idle connections are closed after this, ms; replicas keep them longer. */
-const IDLE_MS = 5000;
+const IDLE_TIMEOUT_MS = 5000;
 /** Part of a replica's own idle time for which a connection is reused. */
-const IDLE_PART = 0.6;
+const IDLE_FRACTION = 0.6;
 const REFUSED_CODE = "ECONNREFUSED";
 const KEEP_ALIVE_HINT = /timeout=(\d+)/;
 const MAX_IDLE_SOCKETS = 128;
@@ -62,19 +62,19 @@
     };
 
 /** What a look at an address found. */
-export type Listening = "listening" | "refused" | "unknown";
+export type ProbeResult = "listening" | "refused" | "unknown";
 
 /** Reuses a connection only well within the time its replica keeps it. */
-class CautiousAgent extends http.Agent {
+class KeepAliveAgent extends http.Agent {
   override keepSocketAlive(socket: Socket): boolean {
     const { _httpMessage: message } = socket as Socket & {
       _httpMessage?: { res?: http.IncomingMessage };
     };
     const hint = message?.res?.headers["keep-alive"] ?? "";
     const seconds = Number(KEEP_ALIVE_HINT.exec(String(hint))?.[1] ?? Infinity);
-    const idleMs = Math.min(IDLE_MS, seconds * 1000 * IDLE_PART);
+    const idleMs = Math.min(IDLE_TIMEOUT_MS, seconds * 1000 * IDLE_FRACTION);
     if (idleMs <= 0) return false;
-    socket.setKeepAlive(true, IDLE_MS);
+    socket.setKeepAlive(true, IDLE_TIMEOUT_MS);
     socket.unref();
     socket.setTimeout(idleMs);
     return true;
@@ -86,9 +86,9 @@
   private readonly agents = new Map<string, http.Agent>();
 
   /** Resolves with the head of the answer, or with what is known instead. */
-  send(order: UpstreamRequest): Promise<SendOutcome> {
+  send(request: UpstreamRequest): Promise<SendOutcome> {
     return new Promise((resolve) => {
-      const { host, port } = splitAddress(order.address);
+      const { host, port } = splitAddress(request.address);
       const isUnavailable = true;
       let isConnected = false;
       let timer: NodeJS.Timeout | undefined;
@@ -100,13 +100,13 @@
       const req = http.request({
         host,
         port,
-        method: order.method,
-        path: order.target,
-        headers: order.headers as unknown as http.OutgoingHttpHeaders,
+        method: request.method,
+        path: request.target,
+        headers: request.headers as unknown as http.OutgoingHttpHeaders,
         setHost: false,
-        agent: this.agent(order.service),
+        agent: this.agent(request.service),
       });
-      const off = order.cancellation.onCancel(() => {
+      const stopListening = request.cancellation.onCancel(() => {
         // A reset, not an end: bytes that wait on the way are dropped, so
         // that a peer that was cut off or stood still does not get them.
         if (isConnected) req.socket?.resetAndDestroy();
@@ -114,11 +114,11 @@
         // Without a connection yet, Node tells nothing until there is one.
         if (!isConnected) fail("cancelled");
       });
-      req.once("close", off);
+      req.once("close", stopListening);
       // The head is written after these listeners have run.
       const onConnected = () => {
         clearTimeout(timer);
-        const why = order.refusal?.();
+        const why = request.refusal?.();
         if (why !== undefined) {
           resolve({ kind: "failed", verdict: "not-run", why, isUnavailable });
           return void req.destroy();
@@ -130,7 +130,7 @@
         if (!socket.connecting) return onConnected();
         socket.once("connect", onConnected);
         const giveUp = () => req.destroy(new Error("no connection in time"));
-        timer = setTimeout(giveUp, CONNECT_MS);
+        timer = setTimeout(giveUp, CONNECT_TIMEOUT_MS);
       });
       let hasFailed = false;
       req.once("response", (res) => {
@@ -142,20 +142,20 @@
         hasFailed = true;
         fail(err.message, err.code === REFUSED_CODE);
       });
-      req.end(order.body);
+      req.end(request.body);
     });
   }
 
   /** Whether anybody listens there, by a connection that is closed at once. */
-  probe(address: string): Promise<Listening> {
+  probe(address: string): Promise<ProbeResult> {
     const { host, port } = splitAddress(address);
     return new Promise((resolve) => {
       const socket = net.connect({ host, port: Number(port) });
-      const end = (found: Listening) => {
+      const end = (found: ProbeResult) => {
         socket.destroy();
         resolve(found);
       };
-      socket.setTimeout(CONNECT_MS, () => end("unknown"));
+      socket.setTimeout(CONNECT_TIMEOUT_MS, () => end("unknown"));
       socket.once("connect", () => end("listening"));
       socket.once("error", (err: NodeJS.ErrnoException) =>
         end(err.code === REFUSED_CODE ? "refused" : "unknown"),
@@ -164,8 +164,8 @@
   }
 
   /** Bounds the connections to each replica of a service. */
-  limitConnections(service: string, most: number): void {
-    this.agent(service).maxSockets = most;
+  limitConnections(service: string, maxSockets: number): void {
+    this.agent(service).maxSockets = maxSockets;
   }
 
   close(): void {
@@ -175,7 +175,7 @@
   private agent(service: string): http.Agent {
     const known = this.agents.get(service);
     if (known !== undefined) return known;
-    const fresh = new CautiousAgent({
+    const fresh = new KeepAliveAgent({
       keepAlive: true,
       maxFreeSockets: MAX_IDLE_SOCKETS,
       scheduling: "lifo",
--- a/src/gateway/verdicts.ts
+++ b/src/gateway/verdicts.ts
@@ -7,9 +7,9 @@
 /** When a caller may come back where no replica took the request, ms. */
 const BUSY_RETRY_MS = 400;
 /** Callers who were refused in one back-off come back spread over this, ms. */
-const AFTER_BACK_OFF_SPREAD_MS = 500;
+const AFTER_BACK_OFF_JITTER_MS = 500;
 /** When a caller may come back whose time ran out before it was sent, ms. */
-const OVERDUE_RETRY_MS = 1000;
+const DEADLINE_RETRY_MS = 1000;
 
 /** What is wrong with the head of a reply; undefined if nothing is. */
 export const replyFault = (
@@ -33,7 +33,7 @@
  * the end of the back-off, where one send goes first, and not all at once.
  */
 export const afterBackOffMs = (leftMs: number, rng: Rng): number =>
-  leftMs + rng() * AFTER_BACK_OFF_SPREAD_MS;
+  leftMs + rng() * AFTER_BACK_OFF_JITTER_MS;
 
 /** The failure of a request that no replica answered. */
 export const failureOf = (
@@ -54,10 +54,10 @@
 };
 
 /** The failure of a request whose time is over. */
-export const overdueFailure = (verdict: Verdict): RequestFailure => ({
+export const deadlineFailure = (verdict: Verdict): RequestFailure => ({
   status: verdict === "not-run" ? 503 : 504,
   code: "deadline",
   message: "its time is over",
   verdict,
-  retryAfterMs: verdict === "not-run" ? OVERDUE_RETRY_MS : undefined,
+  retryAfterMs: verdict === "not-run" ? DEADLINE_RETRY_MS : undefined,
 });
--- a/tests/gateway/engineCalls.test.ts
+++ b/tests/gateway/engineCalls.test.ts
@@ -38,14 +38,14 @@
     rates: new RateLimits(seededRng(1)),
     now,
   } as unknown as ReplicaClientOptions);
-  const form = { upstreamHeaders: () => [] };
-  const ends = { follow: () => undefined };
+  const codec = { upstreamHeaders: () => [] };
+  const ends = { track: () => undefined };
   const calls = new EngineCalls({
     replicas,
     ends,
     quarantine: { refusal: () => undefined },
     client,
-    form,
+    codec,
   } as unknown as EngineCallsOptions);
   const cancellation = new Cancellation();
   const caller = {
@@ -73,7 +73,7 @@
   for (const [says, signal] of Object.entries(signals)) {
     it(`do not to one that says that it ${says}`, async () => {
       const { run, sent, replicas } = setUp(500);
-      replicas.signals.note("dec-1", signal, true, 0);
+      replicas.signals.record("dec-1", signal, true, 0);
       const outcome = await run();
       expect(sent).to.deep.equal([]);
       expect(outcome).to.include({ verdict: "not-run", isUnavailable: true });
--- a/tests/gateway/engineWatch.test.ts
+++ b/tests/gateway/engineWatch.test.ts
@@ -53,7 +53,7 @@
       state: "ready",
       stage: "prefill",
     });
-    const form = {
+    const codec = {
       reportCall: () => ({
         method: "GET",
         target: "/",
@@ -71,10 +71,10 @@
         client,
         replicas,
         rates: new RateLimits(seededRng(1)),
-        form,
+        codec,
         now: () => 0,
       } as unknown as ReplicaClientOptions),
-      form,
+      codec,
     } as unknown as EngineCallsOptions);
     return new Promise((resolve) => {
       watch.start("model", "pre-1", LOOK_MS, resolve);
--- a/tests/gateway/retryBudgets.test.ts
+++ b/tests/gateway/retryBudgets.test.ts
@@ -36,11 +36,11 @@
     for (let at = 0; at < requests; at += 1) {
       now = second * SECOND_MS + (at * SECOND_MS) / requests;
       const budgets = all[at % entries];
-      budgets?.earn("s");
+      budgets?.recordRequest("s");
       // Nothing fails at first, so that all that is kept is there.
       const wanted = second < PLAY_S / 2 ? 0 : WANTED;
       for (let send = 0; send < wanted; send += 1) {
-        if (budgets?.spend("s") === true) further += 1;
+        if (budgets?.tryRetry("s") === true) further += 1;
       }
     }
     rows.push({ requests, further });
@@ -95,9 +95,9 @@
       () => 1,
       () => now,
     );
-    budgets.charge("s", 60);
-    expect(budgets.spend("s")).to.equal(false);
+    budgets.recordRetries("s", 60);
+    expect(budgets.tryRetry("s")).to.equal(false);
     now = 12_000;
-    expect(budgets.spend("s")).to.equal(true);
+    expect(budgets.tryRetry("s")).to.equal(true);
   });
 });
--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -6,7 +6,7 @@
 import path from "node:path";
 
 import { EventSplitter } from "../../src/gateway/eventSplitter.js";
-import { ReplicaSet, VANISHED_KEEP_MS } from "../../src/gateway/replicaSet.js";
+import { ReplicaSet, VANISHED_GRACE_MS } from "../../src/gateway/replicaSet.js";
 import { RetryBudgets } from "../../src/gateway/retryBudgets.js";
 import { drawService, RouteTable } from "../../src/gateway/routeTable.js";
 import { GatewayState } from "../../src/gateway/gatewayState.js";
@@ -91,9 +91,9 @@
     const set = new ReplicaSet();
     set.put(replica("a"));
     set.remove("a", 0, true);
-    expect(ids(set, VANISHED_KEEP_MS - 1)).to.deep.equal(["a"]);
-    expect(ids(set, VANISHED_KEEP_MS)).to.deep.equal([]);
-    expect(set.expire(VANISHED_KEEP_MS)).to.have.length(1);
+    expect(ids(set, VANISHED_GRACE_MS - 1)).to.deep.equal(["a"]);
+    expect(ids(set, VANISHED_GRACE_MS)).to.deep.equal([]);
+    expect(set.expire(VANISHED_GRACE_MS)).to.have.length(1);
   });
 
   it("one that comes back is no longer given up", () => {
@@ -101,7 +101,7 @@
     set.put(replica("a"));
     set.replace([], 0, true);
     set.put(replica("a"));
-    expect(ids(set, VANISHED_KEEP_MS * 2)).to.deep.equal(["a"]);
+    expect(ids(set, VANISHED_GRACE_MS * 2)).to.deep.equal(["a"]);
   });
 
   it("a draining one that vanishes in trouble is gone", () => {
@@ -126,7 +126,7 @@
 
     it("the other gets it where the newest is not there", () => {
       const set = pair();
-      set.deny("after", 0);
+      set.markMisdirected("after", 0);
       expect(ids(set, 1)).to.deep.equal(["before"]);
       const until = set.usableUntil(1);
       expect(ids(set, until)).to.deep.equal(["after"]);
@@ -135,7 +135,7 @@
     it("one alone is used though another answered there", () => {
       const set = new ReplicaSet();
       set.put(replica("a"));
-      set.deny("a", 0);
+      set.markMisdirected("a", 0);
       expect(ids(set, 1)).to.deep.equal(["a"]);
     });
   });
@@ -154,7 +154,7 @@
     it("end their former life, though its entry never lapsed", () => {
       const set = new ReplicaSet();
       set.put(life(10), 1);
-      set.deny("a@10", 0);
+      set.markMisdirected("a@10", 0);
       expect(kinds(set.put(life(20), 2))).to.eql(["gone a@10", "added a@20"]);
       expect(set.get("a@10")).to.equal(undefined);
       // What was held against the former life is not held against this one.
@@ -216,8 +216,8 @@
     const set = new ReplicaSet();
     set.put(replica("a"));
     set.replace([], 0, true);
-    set.replace([], VANISHED_KEEP_MS - 1, true);
-    expect(ids(set, VANISHED_KEEP_MS)).to.deep.equal([]);
+    set.replace([], VANISHED_GRACE_MS - 1, true);
+    expect(ids(set, VANISHED_GRACE_MS)).to.deep.equal([]);
   });
 });
 
@@ -262,8 +262,8 @@
     const budgets = newBudgets(64);
     let spent = 0;
     for (let at = 0; at < 1000; at += 1) {
-      budgets.earn("s");
-      if (budgets.spend("s")) spent += 1;
+      budgets.recordRequest("s");
+      if (budgets.tryRetry("s")) spent += 1;
     }
     expect(spent).to.be.at.most(1000 * 0.2);
     expect(spent).to.be.greaterThan(1000 * 0.1);
@@ -271,14 +271,14 @@
 
   it("start with a part of the fleet's stock", () => {
     const budgets = newBudgets(64);
-    const taken = [1, 2, 3].map(() => budgets.spend("s"));
+    const taken = [1, 2, 3].map(() => budgets.tryRetry("s"));
     expect(taken).to.deep.equal([true, true, false]);
   });
 
   it("are kept apart by service", () => {
     const budgets = newBudgets(32);
-    expect(budgets.spend("a")).to.equal(true);
-    expect(budgets.spend("b")).to.equal(true);
+    expect(budgets.tryRetry("a")).to.equal(true);
+    expect(budgets.tryRetry("b")).to.equal(true);
   });
 });
 
@@ -391,9 +391,9 @@
     state.onReplicaChange(listed("a", "decode"), false);
     expect(ids(state)).to.have.length(1);
     state.onReplicaChange({ ...listed("a", "decode"), isRemoved: true }, true);
-    clock.now = VANISHED_KEEP_MS - 1;
+    clock.now = VANISHED_GRACE_MS - 1;
     expect(ids(state)).to.have.length(1);
-    clock.now = VANISHED_KEEP_MS;
+    clock.now = VANISHED_GRACE_MS;
     expect(ids(state)).to.have.length(0);
   });
 });
