--- a/src/gateway/plainPermits.ts
+++ b/src/gateway/plainPermits.ts
@@ -1,23 +1,23 @@
-/** Permits for plain requests to replicas that take a limited rate. */
+/** Acquires permits for plain requests to rate-limited replicas. */
 import { LRUCache } from "lru-cache";
 
 import type { PermitAnswer, RateLimits } from "../rateLimits/index.js";
 import type { Rng } from "../shared/rng.js";
 
-/** Replicas that are remembered as taking no more, the newest first. */
+/** Rate-limited replicas that are remembered; the least recent are evicted. */
 const MAX_HELD_BACK = 4096;
-/** Bounds of the time until a limited replica is asked for again, ms. */
+/** Bounds of the time for which a replica at its limit is held back, ms. */
 const MIN_HELD_MS = 20;
 const MAX_HELD_MS = 1000;
-/** Less than a permit of one's own can be used for, ms. */
+/** Maximum jitter, ms; shorter than the lifetime of a permit. */
 const MAX_JITTER_MS = 250;
 
-/** Who says whether one request may go to a limited replica. */
+/** Grants permits for single requests to rate-limited replicas. */
 export interface PermitSource {
   permit(service: string, replica: string): Promise<PermitAnswer>;
 }
 
-/** `permitAt`: when there was a permit; undefined: none is needed. */
+/** `permitAt`: instant the permit dates from; undefined: none is needed. */
 export type PlainPermit =
   { kind: "may-go"; permitAt: number | undefined } | { kind: "held-back" };
 
@@ -29,14 +29,14 @@
 }
 
 export class PlainPermits {
-  /** Until when limited replicas take no more, ms. */
+  /** Instant until which each replica is held back, ms, by replica id. */
   private readonly heldBackUntil = new LRUCache<string, number>({
     max: MAX_HELD_BACK,
   });
 
   constructor(private readonly options: PlainPermitsOptions) {}
 
-  /** Whether one request may go to that replica; asks where it is limited. */
+  /** Gets a permit for one request if the replica is rate-limited. */
   async acquire(service: string, replica: string): Promise<PlainPermit> {
     const { rates, permits, rng, now } = this.options;
     if (!rates.isLimited(replica, now())) {
@@ -45,17 +45,17 @@
     const askedAt = now();
     const answer = await permits.permit(service, replica);
     if (answer.kind === "acquired") {
-      // Not the time of the answer, which this process may read late.
+      // The time of the request: this process may read the answer late.
       return { kind: "may-go", permitAt: askedAt };
     }
-    // Entries that were held back together do not ask again together.
+    // Jitter keeps entries held back together from retrying together.
     const jitterMs = rng() * Math.min(answer.waitMs, MAX_JITTER_MS);
     const waitMs = Math.max(MIN_HELD_MS, answer.waitMs + jitterMs);
     this.heldBackUntil.set(replica, now() + Math.min(MAX_HELD_MS, waitMs));
     return { kind: "held-back" };
   }
 
-  /** Until when a replica is known to take no more, ms; 0: it may take some. */
+  /** Instant until which a replica is held back, ms; 0 if it is not. */
   heldUntil(replica: string): number {
     return this.heldBackUntil.get(replica) ?? 0;
   }
--- a/src/gateway/requestCodec.ts
+++ b/src/gateway/requestCodec.ts
@@ -1,4 +1,7 @@
-/** The outer form of requests and answers, as a port: names and codes only. */
+/**
+ * Port for the platform's HTTP protocol: header names, status codes and body
+ * formats of requests and responses. It holds no serving logic.
+ */
 import type { IncomingHttpHeaders, IncomingMessage } from "node:http";
 
 import type { RequestFailure } from "../shared/errors.js";
@@ -13,55 +16,56 @@
   UpstreamSend,
 } from "./types.js";
 
-/** A failure in the form that callers understand. */
+/** A failure encoded as an HTTP response. */
 export interface FailureAnswer {
   status: number;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: string[];
   body: string;
 }
 
-/** A call to a replica outside of requests. */
+/** A control call to a replica, not part of a caller's request. */
 export interface ReplicaCall {
   method: string;
   target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: string[];
   body: Buffer;
 }
 
 export interface RequestCodec {
-  /** Decodes a caller's head; a failure if it can't be served. */
+  /** Decodes the head of a caller's request; a failure if it is invalid. */
   decode(req: IncomingMessage): InboundHead | RequestFailure;
-  /** Headers of a send to a replica, names and values in turn. */
+  /** Headers of a request to a replica, as alternating names and values. */
   upstreamHeaders(
     head: InboundHead,
     send: UpstreamSend,
     bodyBytes: number,
   ): string[];
   readReply(status: number, headers: IncomingHttpHeaders): ReplyHead;
-  /** What any answer at a replica's address says of that replica. */
+  /** What a response from a replica's address says about that replica. */
   readSignal(status: number, headers: IncomingHttpHeaders): ReplicaSignal;
-  /** Names of headers of a replica's answer that this version does not know. */
+  /** Names of response headers that this version does not know. */
   unknownHeaders(headers: IncomingHttpHeaders): string[];
-  /** Headers of a replica's answer that callers get. */
+  /** Headers of a replica's response that are passed on to callers. */
   answerHeaders(rawHeaders: readonly string[]): string[];
   failureAnswer(failure: RequestFailure, requestId: string): FailureAnswer;
-  /** The handle in the answer to a `read`; undefined if it holds none. */
+  /** The handle in the response to a `read`; undefined if there is none. */
   readHandle(address: string, body: string): ReadHandle | undefined;
-  /** Path of the call that frees a handle at the replica that holds it. */
+  /** Path of the call that frees a handle on the replica that holds it. */
   freeHandlePath(handle: ReadHandle): string;
-  /** Asks an engine what it does. */
+  /** Requests an engine's status report. */
   reportCall(replica: Replica): ReplicaCall;
-  /** Throws where the body is no report. */
+  /** Throws if the body is not a report. */
   readReport(body: string): EngineReport;
-  /** Asks an engine which parts of prompts its cache holds. */
+  /** Requests the list of prompt parts in an engine's cache. */
   cacheListCall(replica: Replica): ReplicaCall;
-  /** Throws where the body is no such list. */
+  /** Throws if the body is not a cache list. */
   readCacheList(body: string): HeldPart[];
   /**
-   * The order to change a replica's stage; `fence` grows with holders, and
-   * the replica refuses if it has not taken just `expectedOrders` before.
+   * The order to change a replica's stage. `fence` is a fencing token that
+   * increases with each lease holder. The replica refuses the order unless it
+   * has taken exactly `expectedOrders` orders before.
    */
   stageOrder(
     replica: Replica,
@@ -72,7 +76,7 @@
   ): ReplicaCall;
 }
 
-/** Whether decoding gave a failure. */
+/** Whether decoding failed. */
 export const isFailure = (
   value: InboundHead | RequestFailure,
 ): value is RequestFailure => "verdict" in value;
--- a/src/gateway/retryBudgets.ts
+++ b/src/gateway/retryBudgets.ts
@@ -1,30 +1,30 @@
 /**
- * How many sends beyond the first of each request this entry may make, a
- * service. The bound is one sum over all entries and any window of time.
- * Entries don't ask each other: each keeps to the same rule over its own
- * requests, and to its part of the fleet's stock, so that the sum holds.
- * Nothing is kept for longer than a window: what sixty entries had kept could
- * be spent in one.
+ * Limits the retries (sends beyond the first of a request) of this entry, per
+ * service. The limit applies to the sum over all entries in any time window.
+ * Entries do not coordinate: each applies the same ratio to its own requests
+ * and its share of the fleet's burst, so that the sum holds. No budget is
+ * carried over beyond a window: savings of sixty entries could otherwise be
+ * spent within one window.
  */
 import { SlidingCount } from "../shared/slidingCount.js";
 
-/** Part of the allowed ratio that is used; the rest covers the spread. */
+/** Fraction of the allowed ratio that is used; the rest is safety margin. */
 const USED_FRACTION = 0.75;
 /**
- * Entries among which the fleet's stock is divided at least: in a rush, further
- * sends of a whole stock at once only hold up other requests.
+ * The fleet's burst is divided among at least this many entries: during a
+ * spike, spending the whole burst at once only delays other requests.
  */
 const MIN_ENTRIES = 32;
 
 export interface RetryLimits {
-  /** Allowed sends beyond the first, a request. */
+  /** Retries allowed per request. */
   ratio: number;
-  /** Allowed beyond that over all entries in one window. */
+  /** Additional retries allowed per window, over all entries together. */
   burst: number;
   windowMs: number;
 }
 
-/** What one service has had in the last window. */
+/** Requests and retries of one service in the last window. */
 interface Counts {
   requests: SlidingCount;
   retries: SlidingCount;
@@ -33,31 +33,31 @@
 export class RetryBudgets {
   private readonly counts = new Map<string, Counts>();
 
-  /** `entries`: that share the stock; undefined: nobody has counted them. */
+  /** `entries`: number that share the burst; undefined while unknown. */
   constructor(
     private readonly limits: RetryLimits,
     private readonly entries: () => number | undefined,
     private readonly now: () => number,
   ) {}
 
-  /** A request came: it earns a part of a further send. */
+  /** Counts a new request, which adds `ratio` retries to the budget. */
   recordRequest(service: string): void {
     this.countsOf(service).requests.add(1, this.now());
   }
 
-  /** Takes one further send, if there is one. */
+  /** Takes one retry from the budget; false if none is left. */
   tryRetry(service: string): boolean {
     const { ratio, burst } = this.limits;
     const { requests, retries } = this.countsOf(service);
     const now = this.now();
-    const stock = burst / Math.max(MIN_ENTRIES, this.entries() ?? 0);
-    const allowed = requests.atLeast(now) * ratio * USED_FRACTION + stock;
+    const burstShare = burst / Math.max(MIN_ENTRIES, this.entries() ?? 0);
+    const allowed = requests.atLeast(now) * ratio * USED_FRACTION + burstShare;
     if (retries.atMost(now) + 1 > allowed) return false;
     retries.add(1, now);
     return true;
   }
 
-  /** So many further sends were made without asking. */
+  /** Charges retries that were sent without a call to `tryRetry`. */
   recordRetries(service: string, sends: number): void {
     this.countsOf(service).retries.add(sends, this.now());
   }
--- a/src/gateway/unknownHeaders.ts
+++ b/src/gateway/unknownHeaders.ts
@@ -1,13 +1,13 @@
 /**
- * Headers of replicas' answers that this version does not know: each name is
- * logged once and counted, so that a new signal of replicas shows on the day
- * it first comes, and not when something has gone wrong by it.
+ * Logs and counts response headers of replicas that this version does not
+ * know, once per name, so that a new kind of replica signal is noticed when it
+ * first appears rather than after it has caused a fault.
  */
 import type { Log, Metrics } from "../telemetry/index.js";
 
-/** Names that are remembered; replicas may make up any number. */
+/** Bound on remembered names, since replicas may send any number of them. */
 const MAX_NAMES = 64;
-/** Of a name in a log line. */
+/** Longest part of a header name that is logged, characters. */
 const MAX_LOGGED_CHARS = 80;
 
 export class UnknownHeaders {
@@ -18,7 +18,7 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** `names`: of one answer of that replica. */
+  /** `names`: unknown headers in one response of `replica`. */
   report(names: readonly string[], replica: string): void {
     for (const name of names) {
       if (this.seen.has(name) || this.seen.size >= MAX_NAMES) continue;
--- a/src/gateway/verdicts.ts
+++ b/src/gateway/verdicts.ts
@@ -1,17 +1,17 @@
-/** What a reply or its absence proves, and the failure that callers get. */
+/** Validates replies of replicas and builds the failures that callers get. */
 import type { RequestFailure } from "../shared/errors.js";
 import type { Rng } from "../shared/rng.js";
 import type { Verdict } from "../shared/verdict.js";
 import type { ReplyHead } from "./types.js";
 
-/** When a caller may come back where no replica took the request, ms. */
+/** Retry delay for callers when no replica accepted the request, ms. */
 const BUSY_RETRY_MS = 400;
-/** Callers who were refused in one back-off come back spread over this, ms. */
+/** Maximum jitter on the retries of callers refused in one back-off, ms. */
 const AFTER_BACK_OFF_JITTER_MS = 500;
-/** When a caller may come back whose time ran out before it was sent, ms. */
+/** Retry delay after a deadline that passed before the request ran, ms. */
 const DEADLINE_RETRY_MS = 1000;
 
-/** What is wrong with the head of a reply; undefined if nothing is. */
+/** Why the head of a reply can't be accepted; undefined if it can. */
 export const replyFault = (
   reply: ReplyHead,
   requestId: string,
@@ -29,13 +29,14 @@
 };
 
 /**
- * When a caller may come back who was refused since replicas back off, ms: past
- * the end of the back-off, where one send goes first, and not all at once.
+ * Retry delay for a caller refused because replicas back off, ms. It lies past
+ * the end of the back-off, when a single probe is sent first, and has jitter
+ * so that callers do not all return at once.
  */
 export const afterBackOffMs = (leftMs: number, rng: Rng): number =>
   leftMs + rng() * AFTER_BACK_OFF_JITTER_MS;
 
-/** The failure of a request that no replica answered. */
+/** The failure of a request that got no usable answer from any replica. */
 export const failureOf = (
   verdict: Verdict,
   why: string,
@@ -53,7 +54,7 @@
   return { status: 502, code: "cut", message: why, verdict };
 };
 
-/** The failure of a request whose time is over. */
+/** The failure of a request whose deadline has passed. */
 export const deadlineFailure = (verdict: Verdict): RequestFailure => ({
   status: verdict === "not-run" ? 503 : 504,
   code: "deadline",
