--- a/src/gateway/availability.ts
+++ b/src/gateway/availability.ts
@@ -1,56 +1,57 @@
 /**
- * What replicas say of themselves in their answers: that they leave, or that
- * they want nothing from this process for some time. Pure; by life, so that
- * the next one under a name or at an address starts without a signal. Such a
- * signal outlasts the replica's entry in the list, which may lapse and come
- * back while the store is away. Times are ms of one clock.
+ * Tracks the signals in replicas' responses: that a replica is leaving, or
+ * that it asks this process to back off. Signals are stored per incarnation,
+ * so that a new one under the same name or address starts without any. They
+ * outlive the replica's entry in the list, which may expire and reappear while
+ * the store is unavailable. No I/O; all times are ms of one clock.
  */
 import { LRUCache } from "lru-cache";
 
 import type { ReplicaSignal } from "./types.js";
 
-/** Lives whose signals are remembered, the newest first; 3,400 are expected. */
+/** Incarnations whose signals are kept, in an LRU; 3,400 are expected. */
 const MAX_LIVES = 8192;
 /**
- * No signal counts for longer, ms. A replica that leaves ends within seconds:
- * one that answers after an hour without saying so did not. A back-off of more
- * was meant in another unit; all that is asked below it is kept to.
+ * Upper limit on the duration of any signal, ms. A leaving replica ends within
+ * seconds, so one that still responds after an hour without the signal did not
+ * leave. A longer back-off must have been sent in another unit; any shorter one
+ * is honored.
  */
 export const MAX_SIGNAL_MS = 3_600_000;
 /**
- * An answer that belongs to another request says that its replica leaves: that
- * counts for so long, ms. Believed for an hour, one garbled answer would take a
- * replica from service; not believed at all, the next send to one that leaves
- * would come too late. A back-off ends by itself and is always believed.
+ * Duration of a leaving signal in a response that carries another request's
+ * id, ms. Honored for an hour, one garbled response would take a replica out of
+ * service; ignored, the next request would reach a leaving replica too late. A
+ * back-off ends by itself and is always honored.
  */
 export const UNPROVEN_LEAVING_MS = 2000;
-/** The first send after a back-off has this long to be answered, ms. */
+/** Timeout of the probe, the first request after a back-off, ms. */
 const PROBE_TIMEOUT_MS = 1000;
 
-/** Why a replica gets nothing at the moment. */
+/** Why a replica gets no requests at the moment. */
 export type UnavailableReason =
   | { kind: "leaving" }
   /** `untilMs`: instant at which the back-off ends. */
   | { kind: "backing-off"; untilMs: number };
 
-/** A life that gets nothing at the moment. */
+/** A replica that gets no requests at the moment; `id`: of its incarnation. */
 export interface UnavailableReplica {
   id: string;
   reason: UnavailableReason;
 }
 
-/** What an answer has changed; undefined: nothing. */
+/** The state that a response has newly caused; undefined if none. */
 export type SignalChange = UnavailableReason["kind"] | undefined;
 
 interface SignalState {
-  /** First signal that it leaves; undefined: none. */
+  /** Instant of the first leaving signal; undefined if there was none. */
   leavingSince: number | undefined;
-  /** Until when the signal that it leaves counts. */
+  /** Instant at which the leaving signal expires. */
   leavingUntil: number;
   backOffUntil: number;
-  /** No answer since the end of the back-off has come without another. */
+  /** No response without a new back-off has come since the last one ended. */
   needsProbe: boolean;
-  /** The first send after the back-off is out until then. */
+  /** Instant until which the probe after the back-off is awaited. */
   probeUntil: number;
 }
 
@@ -66,16 +67,16 @@
   private readonly known = new LRUCache<string, SignalState>({
     max: MAX_LIVES,
   });
-  /** Lives that leave, back off or are probed after it: few at any time. */
+  /** Replicas that leave, back off or await a probe; few at any time. */
   private readonly unavailable = new Set<string>();
 
   /**
-   * `lastResortMs`: how long after its first signal a replica that leaves is
-   * used where its service has no other.
+   * `lastResortMs`: how long after its first leaving signal a replica is still
+   * used if its service has no other.
    */
   constructor(private readonly lastResortMs = 0) {}
 
-  /** `isProven`: the answer belongs to the request that was sent. */
+  /** `isProven`: the response belongs to the request that was sent. */
   record(
     id: string,
     signal: ReplicaSignal,
@@ -99,7 +100,7 @@
     return backOffMs > 0 && !wasBackingOff ? "backing-off" : undefined;
   }
 
-  /** Another process heard it say that it leaves. */
+  /** Records a leaving signal that another process received. */
   markLeaving(id: string, now: number): SignalChange {
     return this.record(
       id,
@@ -109,7 +110,7 @@
     );
   }
 
-  /** Why nothing is to be sent to it; undefined: it may be. */
+  /** Why no request may be sent to it; undefined if one may. */
   refusal(id: string, now: number): UnavailableReason | undefined {
     const known = this.known.peek(id);
     if (known === undefined) return undefined;
@@ -118,7 +119,10 @@
     return untilMs > now ? { kind: "backing-off", untilMs } : undefined;
   }
 
-  /** The same for a send that leaves now, which is the first after a back-off. */
+  /**
+   * Like `refusal`, for a request that is sent now: if it is the first after a
+   * back-off, it becomes the probe.
+   */
   refusalAtSend(id: string, now: number): UnavailableReason | undefined {
     const refusal = this.refusal(id, now);
     const known = this.known.peek(id);
@@ -128,13 +132,13 @@
     return refusal;
   }
 
-  /** Whether it was heard to leave so lately that it may do as the last one. */
+  /** Whether it began to leave recently enough to be used as a last resort. */
   isLastResort(id: string, now: number): boolean {
     const since = this.known.peek(id)?.leavingSince;
     return since !== undefined && now - since < this.lastResortMs;
   }
 
-  /** Until when its signal that it leaves means the same, ms. */
+  /** Instant of the next change of its leaving state, ms; Infinity if none. */
   leavingUnchangedUntil(id: string, now: number): number {
     const { leavingSince: since, leavingUntil } =
       this.known.peek(id) ?? NO_SIGNALS;
@@ -143,7 +147,7 @@
     return Math.min(...ends.filter((end) => end > now));
   }
 
-  /** Lives that are to get nothing now, and why. */
+  /** Replicas that get no requests now, and why. */
   unavailableReplicas(now: number): UnavailableReplica[] {
     const found: UnavailableReplica[] = [];
     for (const id of this.unavailable) {
@@ -154,7 +158,7 @@
     return found;
   }
 
-  /** Whether a probe is still due after its back-off. */
+  /** Whether its last back-off still needs a successful probe. */
   private awaitsProbe(id: string): boolean {
     return this.known.peek(id)?.needsProbe ?? false;
   }
@@ -170,7 +174,7 @@
   known.leavingUntil = Math.max(known.leavingUntil, now + longest);
 };
 
-/** An answer within the back-off that asks for another prolongs it. */
+/** A back-off requested during another one extends it. */
 const applyBackOff = (
   known: SignalState,
   backOffMs: number,
@@ -182,14 +186,17 @@
   known.probeUntil = -Infinity;
 };
 
-/** What was under way when the back-off was asked for does not end it. */
+/** Responses to requests in flight when it was requested do not end it. */
 const endProbe = (known: SignalState, now: number): void => {
   if (!known.needsProbe || known.backOffUntil > now) return;
   known.needsProbe = false;
   known.probeUntil = -Infinity;
 };
 
-/** All entries may be sent away at once: after a back-off one send goes first. */
+/**
+ * After a back-off a single probe goes first, because all entries may have been
+ * told to back off at the same time.
+ */
 const blockedUntil = (
   { backOffUntil, probeUntil }: SignalState,
   now: number,
--- a/src/gateway/replicaClient.ts
+++ b/src/gateway/replicaClient.ts
@@ -1,9 +1,8 @@
 /**
- * The one way to replicas: what each answer says of its replica is heard
- * here, whatever it was sent for, and looked at in the instant before work
- * leaves. Choices are made earlier, by others and on older signals: a run is
- * granted while its prompt is still read elsewhere, and a request may wait
- * for a connection.
+ * Sends all requests to replicas. It records the signals in every response,
+ * and checks them again just before work is sent, since replicas are chosen
+ * earlier, elsewhere and on older signals: a run is granted while its prompt is
+ * still read on another engine, and a request may wait for a connection.
  */
 import type { IncomingMessage } from "node:http";
 
@@ -22,32 +21,32 @@
 } from "./upstreamClient.js";
 
 /**
- * A replica at whose address nobody listens is left out for this, ms, and then
- * probed by one send: a restart takes seconds.
+ * How long a replica is left out after a refused connection, ms, before one
+ * request probes it; a restart takes seconds.
  */
 const REFUSED_BACK_OFF_MS = 1000;
-/** Of a header in a log line. */
+/** Longest part of a header value that is logged, characters. */
 const MAX_LOGGED_CHARS = 80;
-/** Replicas whose unreadable signals are remembered, to log each once. */
+/** Replicas whose last unparsable signal is kept, to log each only once. */
 const MAX_UNPARSED = 1024;
 /**
- * A permit is good for so long, ms. A send that is held up on its way, by a
- * read elsewhere or a wait for a connection, must not add to those that follow
- * it: with this and the stock of permits, what reaches a replica in any four
- * seconds stays below one and a half times its limit.
+ * Lifetime of a permit, ms. A request delayed by a read on another engine or a
+ * wait for a connection must not add to the requests that follow it. With this
+ * lifetime and the burst of permits, a replica receives less than 1.5 times its
+ * limit in any four seconds.
  */
 const PERMIT_VALID_MS = 1500;
 const AT_LIMIT = "the replica takes no more for the moment";
 
-/** Log lines of what a replica has come to say. */
+/** Log messages for new signals of a replica. */
 const SIGNAL_MESSAGES = {
   leaving: "replica is leaving",
   "backing-off": "replica asks for back-off",
 } as const;
 
 /**
- * `work`: a request, an order, or a question that holds up the replica.
- * `question`: one that takes nothing of it.
+ * `work`: a request, an order, or a query that uses the replica's capacity.
+ * `question`: a query that does not.
  */
 export type SendPurpose = "work" | "question";
 
@@ -57,20 +56,20 @@
   "service" | "address"
 > {
   purpose: SendPurpose;
-  /** Of the request that the answer must belong to; absent: of none. */
+  /** Id that the response must carry; absent if it need not carry one. */
   requestId?: string;
   /**
-   * When whoever chose the replica had a permit for it; absent: nobody had,
-   * and this process needs one of its own where the replica is limited.
+   * Instant of the permit acquired when the replica was chosen, ms; absent if
+   * there is none. This process then needs its own if the replica is limited.
    */
   permitAt?: number;
 }
 
-/** What was sent, as far as its answer is judged by it. */
+/** The facts about a sent request that its response is checked against. */
 interface SentRequest {
   purpose: SendPurpose;
   requestId: string | undefined;
-  /** When it left. */
+  /** Instant at which it was sent, ms. */
   sentAt: number;
 }
 
@@ -89,9 +88,9 @@
     max: MAX_UNPARSED,
   });
   private readonly unknownHeaders: UnknownHeaders;
-  /** Told of each replica that is heard to leave. */
+  /** Called when a replica newly signals that it is leaving. */
   onLeaving: (replica: Replica) => void = () => undefined;
-  /** Told of each change of the rate that a replica says it takes. */
+  /** Called when the rate limit that a replica announces changes. */
   onRateChange: (news: RateNews) => void = () => undefined;
 
   constructor(private readonly options: ReplicaClientOptions) {
@@ -99,11 +98,11 @@
     this.unknownHeaders = new UnknownHeaders(log, metrics);
   }
 
-  /** Resolves with the head of the answer, or with what is known instead. */
-  async send(replica: Replica, order: ReplicaSend): Promise<SendOutcome> {
+  /** Resolves with the response head, or with what is known of the failure. */
+  async send(replica: Replica, send: ReplicaSend): Promise<SendOutcome> {
     const { client, now } = this.options;
     const { service, address } = replica;
-    const { purpose, requestId, permitAt, ...request } = order;
+    const { purpose, requestId, permitAt, ...request } = send;
     const isWork = purpose === "work";
     const why = isWork ? this.refusal(replica) : undefined;
     if (why !== undefined) {
@@ -126,13 +125,13 @@
     return outcome;
   }
 
-  /** Why it gets no work at the moment; undefined: it may. */
+  /** Why it gets no work at the moment; undefined if it may. */
   refusal({ id }: Replica): string | undefined {
     const { replicas, now } = this.options;
     return replicas.signals.refusal(id, now());
   }
 
-  /** The same for work that leaves now. */
+  /** Like `refusal`, for work that is sent now; checks the rate limit too. */
   private refusalNow(
     { id }: Replica,
     permitAt = -Infinity,
@@ -181,8 +180,8 @@
   }
 
   /**
-   * Nobody listens there. Its entry stays listed for seconds, and where it is
-   * the last of its stage every request would try it.
+   * The connection was refused. The entry stays listed for seconds, and if it
+   * is the last of its stage, every request would try it.
    */
   private onConnectionRefused({ id }: Replica): void {
     const { replicas, metrics, now } = this.options;
@@ -191,7 +190,7 @@
     if (change !== undefined) metrics.count("replica_refused", {});
   }
 
-  /** `isGood`: it is the request's own answer, and a success. */
+  /** `isGood`: the response is the request's own, with a 2xx status. */
   private updateRateLimit(
     id: string,
     { purpose, sentAt }: SentRequest,
@@ -201,8 +200,8 @@
   ): void {
     const { rates, log, metrics, now } = this.options;
     const mayEnd = purpose === "work" && isGood && unreadLimit === undefined;
-    const word = { perS: limitPerS, mayEnd, sentAt };
-    const news = rates.hear(id, word, now());
+    const announced = { perS: limitPerS, mayEnd, sentAt };
+    const news = rates.hear(id, announced, now());
     if (news === undefined) return;
     const isEnd = news.endedAgoMs !== undefined;
     metrics.count("replica_signal", { kind: isEnd ? "unlimited" : "limited" });
--- a/src/gateway/replicaEndDetector.ts
+++ b/src/gateway/replicaEndDetector.ts
@@ -1,8 +1,8 @@
 /**
- * Tells the end of a replica from the loss of single answers. An answer that
- * breaks off says little: replicas lose answers, links reset. Evidence of an
- * end is an address at which nobody listens any more, or a list of replicas
- * that has lost it soon after.
+ * Detects unplanned ends of replicas, as opposed to interrupted responses. An
+ * interrupted response alone proves little, since replicas drop responses and
+ * connections reset. An end is confirmed if the replica's address refuses
+ * connections, or if the replica leaves the list soon afterwards.
  */
 import type { IncomingMessage } from "node:http";
 
@@ -13,31 +13,31 @@
 import type { SendOutcome, UpstreamClient } from "./upstreamClient.js";
 
 /**
- * A replica that the list loses within this time of a broken answer ended
- * then, ms: an entry lapses after three heartbeats of up to 1.5 s.
+ * A replica removed from the list within this time of an interrupted response
+ * ended then, ms: an entry expires after three heartbeats of up to 1.5 s.
  */
 const CONFIRM_MS = 5000;
 /**
- * A request whose caller left so shortly before the end of its replica may
- * still have run there, ms; most replicas drop it at once.
+ * A request whose caller disconnected at most this long before the replica
+ * ended may still have run there, ms; most replicas drop it at once.
  */
 const CALLER_LEFT_MS = 1000;
-/** Pause between two looks at one address, ms: answers break off in crowds. */
+/** Interval between probes of one address, ms; interruptions come in bursts. */
 const PROBE_INTERVAL_MS = 100;
-/** Replicas whose broken answers are remembered at the most. */
+/** Most replicas whose interrupted responses are remembered. */
 const MAX_REPLICAS = 256;
-/** Requests of one replica that are remembered; it has no more slots. */
+/** Most requests remembered per replica; a replica has no more slots. */
 const MAX_REQUESTS = 256;
-/** Digests in one log line. */
+/** Most digests in one log line. */
 const MAX_LOGGED = 8;
 
-/** How the end of a replica was found out. */
+/** What confirmed the end of a replica. */
 export type EndEvidence = "nobody listens" | "left the list";
 
 export interface ReplicaEnd {
   replica: Replica;
   evidence: EndEvidence;
-  /** Digests of the requests whose answers broke off. */
+  /** Digests of the requests whose responses were interrupted. */
   requests: string[];
 }
 
@@ -49,28 +49,28 @@
   now: () => number;
 }
 
-/** What was at one replica when answers of it broke off. */
+/** Interrupted responses of one replica, and whether its end is confirmed. */
 interface InterruptedAnswers {
   replica: Replica;
-  /** By digest: until when an end counts as its own, ms. */
+  /** Instant until which an end is attributed to the request, ms, by digest. */
   requests: Map<string, number>;
   evidence: EndEvidence | undefined;
-  /** Its address is looked at, or was a moment ago. */
+  /** A probe is running, or finished less than an interval ago. */
   isProbing: boolean;
-  /** An answer broke off after that look had begun. */
+  /** Another response was interrupted after that probe had begun. */
   mustProbeAgain: boolean;
 }
 
 export class ReplicaEndDetector {
   private readonly interrupted = new Map<string, InterruptedAnswers>();
-  /** Told of each end, and of requests that turn out to have been there. */
+  /** Called for each end, and for requests attributed to it later. */
   onEnd: (end: ReplicaEnd) => void = () => undefined;
-  /** A run ended and its replica lived on. */
+  /** Called when a run completed and its replica survived. */
   onSurvived: (caller: CallerRequest) => void = () => undefined;
 
   constructor(private readonly options: ReplicaEndDetectorOptions) {}
 
-  /** Follows one send to its end. `isRefused`: the replica did not run it. */
+  /** Watches one send until its end. `isRefused`: the replica did not run it. */
   track(
     caller: CallerRequest,
     replica: Replica,
@@ -90,32 +90,32 @@
     });
   }
 
-  /** It says nothing: an end that no connection tells of. */
+  /** The replica went silent; it may have ended with its connections open. */
   onStalled(caller: CallerRequest, replicaId: string): void {
     const replica = this.options.replicas.get(replicaId);
     if (replica !== undefined) this.onInterrupted(caller, replica);
   }
 
-  /** The list has lost a replica. */
+  /** A replica was removed from the list. */
   onReplicaRemoved(replica: Replica): void {
     const known = this.interrupted.get(replica.id);
     if (known === undefined || replica.state !== "ready") return;
     this.confirm(known, "left the list");
   }
 
-  /** It answers: whatever spoke for its end was something else. */
+  /** A complete response disproves an end that had been confirmed. */
   private onCompleteAnswer(replica: Replica): void {
     if (this.interrupted.get(replica.id)?.evidence === undefined) return;
     this.interrupted.delete(replica.id);
   }
 
   private onInterrupted(caller: CallerRequest, replica: Replica): void {
-    // One that was leaving has ended as planned.
+    // A replica that was leaving has ended as planned.
     const listed = this.options.replicas.get(replica.id);
     if (listed?.state !== "ready") return;
     const now = this.options.now();
     const known = this.recordFor(replica);
-    // Where the caller left, the connection was broken from here.
+    // If the caller disconnected, this process closed the connection.
     const hasLeft = caller.cancellation.isCancelled;
     const until = now + (hasLeft ? CALLER_LEFT_MS : CONFIRM_MS);
     this.remember(known, caller.digest, until);
@@ -143,8 +143,8 @@
   }
 
   private recordFor(replica: Replica): InterruptedAnswers {
-    const life = replica.id;
-    const known = this.interrupted.get(life);
+    const { id } = replica;
+    const known = this.interrupted.get(id);
     if (known !== undefined) return known;
     const fresh: InterruptedAnswers = {
       replica,
@@ -153,7 +153,7 @@
       isProbing: false,
       mustProbeAgain: false,
     };
-    this.interrupted.set(life, fresh);
+    this.interrupted.set(id, fresh);
     const [oldest] = this.interrupted.keys();
     if (this.interrupted.size > MAX_REPLICAS && oldest !== undefined) {
       this.interrupted.delete(oldest);
@@ -161,7 +161,7 @@
     return fresh;
   }
 
-  /** Where somebody listens still, the list may yet tell of its end. */
+  /** If the address still accepts connections, the list may confirm the end. */
   private probe(known: InterruptedAnswers): void {
     known.mustProbeAgain = known.isProbing;
     if (known.isProbing) return;
--- a/src/gateway/replicaSet.ts
+++ b/src/gateway/replicaSet.ts
@@ -1,23 +1,23 @@
 /**
- * The replicas that the store lists, life by life: one that has started again
- * holds nothing of what it held, also where it keeps its name. Pure. An entry
- * that vanishes while the store is in trouble may have lapsed although its
- * replica lives: it is kept for a short time, and given up if it does not
- * come back.
+ * The replicas listed in the store, one entry per incarnation: a restarted
+ * replica has lost its state even if it keeps its name. An entry that vanishes
+ * while the store is unstable may have expired although its replica is alive,
+ * so it is kept for a short grace period before it is removed. No I/O.
  */
 import { ReplicaSignals } from "./replicaSignals.js";
 import type { EngineReport, Replica } from "./types.js";
 
 /**
- * How long a replica is used after its entry vanished in trouble, ms. Living
- * replicas write again within two seconds; the bound on leaving replicas is
- * two seconds on the smallest deployments, so it ends a little before.
+ * How long a replica is still used after its entry vanished while the store
+ * was unstable, ms. Live replicas rewrite their entries within two seconds. The
+ * time limit for leaving replicas is two seconds on the smallest deployments,
+ * so the grace period ends slightly earlier.
  */
 export const VANISHED_GRACE_MS = 1700;
 
 /**
- * How long a replica is not used that another answered for, ms. The entry of
- * one that has crashed goes after three heartbeats, a few seconds.
+ * How long a replica is not used after another one responded at its address,
+ * ms. A crashed replica's entry expires after three heartbeats, a few seconds.
  */
 const MISDIRECTED_MS = 4000;
 
@@ -25,9 +25,9 @@
   replica: Replica;
   /** Revision of the entry's last change in the store. */
   revision: number;
-  /** Not used until then: it answered that it is another one, ms. */
+  /** Not used before this instant: another replica has its address, ms. */
   misdirectedUntil: number;
-  /** Instant at which its entry vanished, ms. */
+  /** Instant at which its entry vanished, ms; undefined while listed. */
   vanishedAt: number | undefined;
 }
 
@@ -37,7 +37,7 @@
   revision?: number;
 }
 
-/** What a change of the list came to, for the log. */
+/** A change of the replica list, for the log. */
 export type ReplicaChange = {
   kind: "added" | "changed" | "vanished" | "gone";
   replica: Replica;
@@ -54,7 +54,7 @@
   return left.revision > right.revision;
 };
 
-/** An entry that does not say when its life began goes on with the known one. */
+/** An entry without a start time is taken as the known incarnation's. */
 const withKnownIncarnation = (
   entry: Replica,
   known: Replica | undefined,
@@ -63,7 +63,7 @@
   return isSilent ? { ...entry, id: known.id, bornAt: known.bornAt } : entry;
 };
 
-/** Whether a report comes from another life than the one that is known. */
+/** Whether a report comes from another incarnation than the listed one. */
 export const isDifferentIncarnation = (
   replica: Replica,
   report: Pick<EngineReport, "bornAt">,
@@ -73,14 +73,14 @@
   replica.bornAt !== report.bornAt;
 
 export class ReplicaSet {
-  /** What they have said of themselves. */
+  /** Leaving and back-off signals of the replicas. */
   readonly signals: ReplicaSignals;
-  /** By id of the life. */
+  /** By id of the incarnation. */
   private readonly entries = new Map<string, SetEntry>();
-  /** Ids of the lives that names stand for. */
+  /** Id of the current incarnation, by name. */
   private readonly idsByName = new Map<string, string>();
   private services: ReadonlySet<string> | undefined;
-  /** Grows with each change. */
+  /** Incremented on each change. */
   revision = 0;
 
   /** `lastResortMs`: see `Availability`. */
@@ -93,8 +93,8 @@
   }
 
   /**
-   * A replica wrote its entry; `revision`: of that change in the store. A
-   * newer life ends the one before; what an older one wrote comes too late.
+   * Adds or updates an entry; `revision`: store revision of that write. A newer
+   * incarnation replaces the previous one; writes of an older one are ignored.
    */
   put(entry: Replica, revision = 0, now = 0): ReplicaChange[] {
     const before = this.byName(entry.name);
@@ -108,7 +108,7 @@
     if (before !== undefined && before !== known) {
       changes.push(this.delete(before.replica));
     }
-    // A store that comes back from a copy may say `ready` of it once more.
+    // A store restored from a backup may list it as `ready` again.
     if (replica.state === "draining") this.signals.markLeaving(replica.id, now);
     this.revision += 1;
     this.idsByName.set(replica.name, replica.id);
@@ -122,7 +122,7 @@
     return changes;
   }
 
-  /** An entry vanished; `inTrouble`: the store was not steady lately. */
+  /** Handles a vanished entry; `inTrouble`: the store was unstable recently. */
   remove(
     name: string,
     now: number,
@@ -137,13 +137,13 @@
     return { kind: "vanished", replica };
   }
 
-  /** Its entry can't be read any more: it names no replica. */
+  /** Removes a replica whose entry can't be decoded any more. */
   drop(name: string): ReplicaChange | undefined {
     const known = this.byName(name);
     return known && this.delete(known.replica);
   }
 
-  /** The whole list was read: what it lacks has vanished. */
+  /** Applies a full list read from the store; missing entries have vanished. */
   replace(
     listed: readonly ListedReplica[],
     now: number,
@@ -162,7 +162,7 @@
     return changes;
   }
 
-  /** The services of the configuration; without one, all count. */
+  /** Sets the configured services; until then every service is accepted. */
   setServices(names: Iterable<string>): void {
     this.services = new Set(names);
     this.revision += 1;
@@ -184,7 +184,7 @@
     return { kind: "gone", replica };
   }
 
-  /** Gives up what vanished too long ago. */
+  /** Removes entries whose grace period is over. */
   expire(now: number): ReplicaChange[] {
     const gone: ReplicaChange[] = [];
     for (const { replica, vanishedAt } of [...this.entries.values()]) {
@@ -195,7 +195,7 @@
     return gone;
   }
 
-  /** Another one answered at its address: it is not used for a while. */
+  /** Another replica responded at its address: it is not used for a while. */
   markMisdirected(id: string, now: number): void {
     const known = this.entries.get(id);
     if (known === undefined) return;
@@ -204,10 +204,10 @@
   }
 
   /**
-   * The replicas that may get new work. Of those that are listed at one
-   * address only the newest lives: a replica that has crashed stays listed
-   * for three heartbeats beside the one that took its place. An entry of a
-   * service that the configuration does not name takes no place.
+   * The replicas that may get new work. Of several listed at one address only
+   * the newest is alive: a crashed replica stays listed for three heartbeats
+   * beside its replacement. Entries of services that are not configured are
+   * ignored.
    */
   usable(service: string, now: number): Replica[] {
     const newest = new Map<string, SetEntry>();
@@ -229,7 +229,7 @@
     return this.signals.withoutLeaving(found, now);
   }
 
-  /** Until when `usable` gives the same if nothing changes, ms. */
+  /** Instant until which `usable` stays valid if no entry changes, ms. */
   usableUntil(now: number): number {
     const { signals } = this;
     let until = Infinity;
--- a/src/gateway/replicaSignals.ts
+++ b/src/gateway/replicaSignals.ts
@@ -1,7 +1,7 @@
 /**
- * What the listed replicas have said of themselves, as those ask who choose
- * one, send to one, or tell a caller when to come back. The signals themselves
- * are judged by `Availability`.
+ * Answers queries about the signals of listed replicas: for choosing a
+ * replica, for sending to it, and for a caller's retry delay. `Availability`
+ * interprets the signals themselves.
  */
 import type { Replica, ReplicaSignal } from "./types.js";
 import { Availability } from "./availability.js";
@@ -11,9 +11,9 @@
   SignalChange,
 } from "./availability.js";
 
-/** The list that the signals are of. */
+/** The replica list that the signals refer to. */
 export interface ListedReplicas {
-  /** Grows with each change of what may be used. */
+  /** Incremented on each change of the usable replicas. */
   revision: number;
   get(id: string): Replica | undefined;
   usable(service: string, now: number): Replica[];
@@ -31,8 +31,8 @@
   }
 
   /**
-   * An answer of that life says this of it; `isProven`: the answer belongs to
-   * the request that was sent.
+   * Records the signal in a response of that replica; `isProven`: the response
+   * belongs to the request that was sent.
    */
   record(
     id: string,
@@ -45,30 +45,30 @@
     return change;
   }
 
-  /** Another process heard it say that it leaves. */
+  /** Records a leaving signal that another process received. */
   markLeaving(id: string, now: number): void {
     const change = this.availability.markLeaving(id, now);
     if (change !== undefined) this.replicas.revision += 1;
   }
 
-  /** Why no work goes to it; undefined: it may get some. */
+  /** Why it may get no work; undefined if it may. */
   refusal(id: string, now: number): string | undefined {
     return this.refusalFor(id, now, this.availability.refusal(id, now));
   }
 
-  /** The same for work that leaves now. */
+  /** Like `refusal`, for work that is sent now; see `Availability`. */
   refusalAtSend(id: string, now: number): string | undefined {
     return this.refusalFor(id, now, this.availability.refusalAtSend(id, now));
   }
 
-  /** Replicas of a service that want no work of this process now. */
+  /** Ids of a service's replicas that accept no work from this process now. */
   unavailableIds(service: string, now: number): string[] {
     return this.unavailableOfService(service, now).flatMap(({ id }) =>
       this.refusal(id, now) === undefined ? [] : [id],
     );
   }
 
-  /** Instants at which back-offs of a service's replicas end. */
+  /** Instants at which the back-offs of a service's replicas end, ms, by id. */
   backOffEnds(service: string, now: number): Map<string, number> {
     const ends = new Map<string, number>();
     for (const { id, reason } of this.unavailableOfService(service, now)) {
@@ -77,7 +77,7 @@
     return ends;
   }
 
-  /** Replicas of a service that have said something that counts. */
+  /** Replicas of a service with a leaving signal or back-off in force. */
   private unavailableOfService(
     service: string,
     now: number,
@@ -86,14 +86,15 @@
     return all.filter(({ id }) => this.replicas.get(id)?.service === service);
   }
 
-  /** Whether it wants no work now. */
+  /** Whether it is leaving or backs off now. */
   isUnavailable(id: string, now: number): boolean {
     return this.availability.refusal(id, now) !== undefined;
   }
 
   /**
-   * Where all that may be used back off: time until the first end, ms; else 0.
-   * `heldUntil`: until when a replica is left out for another reason.
+   * Time until the first usable replica accepts requests again, ms, if all of
+   * them back off or are held back; otherwise 0. `heldUntil`: instant until
+   * which a replica is left out for another reason.
    */
   untilAvailableMs(
     service: string,
@@ -122,7 +123,10 @@
     return "the replica says that it leaves";
   }
 
-  /** Those that leave only where there is no other, and for a short time. */
+  /**
+   * Drops leaving replicas. If all are leaving, those that began recently
+   * remain as a last resort.
+   */
   withoutLeaving(replicas: Replica[], now: number): Replica[] {
     const { availability } = this;
     const staying = replicas.filter(
@@ -132,7 +136,7 @@
     return replicas.filter(({ id }) => availability.isLastResort(id, now));
   }
 
-  /** Until when its signal that it leaves means the same, ms. */
+  /** Instant of the next change of its leaving state, ms; Infinity if none. */
   leavingUnchangedUntil(id: string, now: number): number {
     return this.availability.leavingUnchangedUntil(id, now);
   }
