--- a/src/gateway/quarantineManager.ts
+++ b/src/gateway/quarantineManager.ts
@@ -1,6 +1,6 @@
 /**
- * Bars requests that end their replicas, at one entry: refuses them, and
- * shares with the fleet what this entry has seen.
+ * Quarantines requests that crash the replicas that run them: refuses barred
+ * requests at this entry and shares its observations with the fleet.
  */
 import { Quarantine } from "../quarantine/index.js";
 import type { Bar } from "../quarantine/index.js";
@@ -14,16 +14,17 @@
 import { QuarantineTrials, maxTrialSends } from "./quarantineTrials.js";
 import type { ReplicaEnd } from "./replicaEndDetector.js";
 
-/** Period of looking whether there is anything to share, ms. */
+/** Interval between checks for observations to share, ms. */
 const SHARE_INTERVAL_MS = 50;
 /**
- * Ends of one replica are told request by request, and a popular request
- * that was there by chance ends well elsewhere meanwhile, ms.
+ * Delay before new observations are shared, ms. The end of one replica is
+ * reported request by request, and a popular request that was there by chance
+ * completes on another replica in the meantime.
  */
 const BATCH_DELAY_MS = 100;
-/** Pause after a call to the store that failed, ms. */
+/** Retry interval after a failed store call, ms. */
 const RETRY_MS = 500;
-/** Writes of the bars in a row that may meet other writers. */
+/** Attempts to write the bars that may conflict with other writers. */
 const MAX_CONFLICTS = 4;
 const MS_PER_SECOND = 1000;
 
@@ -38,13 +39,13 @@
   private readonly quarantine: Quarantine;
   private readonly store: QuarantineStore;
   private readonly trials: QuarantineTrials;
-  /** Steps of the bars in the store, and those that were logged. */
+  /** Steps of the bars in the store, and last logged steps, by digest. */
   private storedBarSteps = new Map<string, number>();
   private loggedBarSteps = new Map<string, number>();
   private hasRestored = false;
-  /** Since when there is something to tell, ms. */
+  /** Instant of the oldest observation not shared yet, ms. */
   private unsharedSince: number | undefined;
-  /** An end is among the news, so that the others' records matter. */
+  /** Unshared observations include an end, so others' records are needed. */
   private hasNewEnds = false;
   private retryAt = 0;
 
@@ -73,7 +74,7 @@
     if (isNews) this.unsharedSince ??= this.options.now();
   }
 
-  /** What lies beside the configuration in the store. */
+  /** Handles the status that is stored with the configuration. */
   onStatus(status: unknown): void {
     const bars = parseBars(status);
     this.storedBarSteps = new Map(
@@ -83,7 +84,7 @@
     this.logBarChanges();
   }
 
-  /** Before anything is done for a request: why it may not run. */
+  /** Called before a request is processed; why it may not run, if so. */
   async admit(caller: CallerRequest): Promise<RequestFailure | undefined> {
     if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
     const verdict = this.quarantine.verdict(
@@ -97,7 +98,7 @@
     return this.failure(verdict.bar);
   }
 
-  /** Before each send: a bar may have come since the request did. */
+  /** Called before each send: a bar may be newer than the request. */
   refusal(caller: CallerRequest): RequestFailure | undefined {
     if (caller.isTrial) return undefined;
     if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
@@ -105,12 +106,12 @@
     return bar && this.failure(bar);
   }
 
-  /** A request is over. */
+  /** Called when a request has ended. */
   onRequestEnd(caller: CallerRequest): void {
     if (this.trials.endTrial(caller)) this.logBarChanges();
   }
 
-  /** Shares what is new; only then calls are made. */
+  /** Shares new observations and bars; makes no store calls without any. */
   async step(): Promise<void> {
     const now = this.options.now();
     if (now < this.retryAt) return;
@@ -118,7 +119,7 @@
       if (await this.share(now)) return;
     } catch (err) {
       const why = errText(err);
-      this.options.log.warn("ends of replicas not read", { why });
+      this.options.log.warn("failed to share quarantine records", { why });
     }
     this.retryAt = this.options.now() + RETRY_MS;
   }
@@ -132,7 +133,7 @@
     return !this.hasUnstoredBars || (await this.shareBars());
   }
 
-  /** Takes up what an earlier life of this process, and others, have seen. */
+  /** Loads the records of this process before its restart, and of others. */
   private async restore(): Promise<void> {
     const { all, own } = await this.store.readEnds();
     this.quarantine.restore(own);
@@ -191,7 +192,7 @@
     };
   }
 
-  /** Logs each step of each bar once. */
+  /** Logs and counts each step of each bar once. */
   private logBarChanges(): void {
     const bars = this.quarantine.allBars();
     const before = this.loggedBarSteps;
--- a/src/gateway/quarantineRole.ts
+++ b/src/gateway/quarantineRole.ts
@@ -1,4 +1,4 @@
-/** What an entry needs to bar requests that end the replicas that run them. */
+/** Wires up the parts that quarantine requests which crash their replicas. */
 import type { GatewayParts } from "./parts.js";
 import type { GatewayState } from "./gatewayState.js";
 import { QuarantineManager } from "./quarantineManager.js";
@@ -10,7 +10,7 @@
   quarantine: QuarantineManager;
 }
 
-/** `self`: name of this process. */
+/** Creates and connects the parts; `self`: name of this process. */
 export const createQuarantineRole = (
   self: string,
   parts: GatewayParts,
--- a/src/gateway/quarantineStore.ts
+++ b/src/gateway/quarantineStore.ts
@@ -1,8 +1,9 @@
 /**
- * Where the fleet's knowledge of requests that end their replicas lies. What
- * each process has seen: an object of its own. The bars: the status beside
- * the configuration, which every entry follows anyway, so that a bar is in
- * force as a configuration is, and nothing is asked while nothing ends.
+ * Stores the fleet's records of requests that crash replicas. Each process
+ * writes its observations to an object of its own. The bars are in the status
+ * stored with the configuration, which every entry watches anyway: bars take
+ * effect like a configuration, and no extra calls are made while no replica
+ * ends.
  */
 import { z } from "zod/v4";
 
@@ -12,9 +13,9 @@
 import type { FeedItem, ObjectFeed } from "../store/index.js";
 import type { GatewaySource, GatewayState } from "./gatewayState.js";
 
-/** Object kind of what processes have seen; named by the process. */
+/** Kind of the objects with observed ends; named after the process. */
 const ENDS_KIND = "replica-ends";
-/** Field of the status beside the configuration. */
+/** Field of the status stored with the configuration. */
 const BARS_FIELD = "quarantine";
 
 const barSchema = z.object({
@@ -32,7 +33,7 @@
 const fieldsOf = (value: unknown): Record<string, unknown> =>
   typeof value === "object" && value !== null ? { ...value } : {};
 
-/** Bars that can be read; others are another writer's, and say nothing. */
+/** Bars in a status; items that don't match the schema are ignored. */
 export const parseBars = (status: unknown): Bar[] => {
   const listed = fieldsOf(status)[BARS_FIELD];
   if (!Array.isArray(listed)) return [];
@@ -53,7 +54,7 @@
 ): FeedItem | undefined =>
   (left?.revision ?? ABSENT) >= (right?.revision ?? ABSENT) ? left : right;
 
-/** What all processes have seen, and this one in an earlier life. */
+/** Records of all processes, and of this one (possibly before a restart). */
 export interface SeenEnds {
   all: EndRecord[];
   own: EndRecord;
@@ -70,14 +71,14 @@
 }
 
 export class QuarantineStore {
-  /** Of this process's object. */
+  /** Revision of this process's object. */
   private ownRevision = ABSENT;
-  /** The configuration's object as a write has met it; it may be unreadable. */
+  /** Configuration object from the last conflict; it may be undecodable. */
   private conflictItem: FeedItem | undefined;
 
   constructor(private readonly options: QuarantineStoreOptions) {}
 
-  /** Errors are `StoreError`. */
+  /** Throws `StoreError`. */
   async readEnds(): Promise<SeenEnds> {
     const { feed, self } = this.options;
     const { items } = await feed.list(ENDS_KIND);
@@ -89,25 +90,27 @@
     };
   }
 
-  /** Whether it took effect. */
+  /** Whether the record was written. */
   async writeEnds(record: EndRecord): Promise<boolean> {
     const { feed, self } = this.options;
     const result = await feed.write(ENDS_KIND, self, record, this.ownRevision);
     if (result.kind === "written") this.ownRevision = result.item.revision;
-    // Only this process writes it: an answer that was lost, or an earlier life.
+    // Only this process writes the object: either the response to a write was
+    // lost, or the process wrote it before a restart.
     if (result.kind === "conflict") {
       this.ownRevision = result.current?.revision ?? ABSENT;
     }
-    // The next write finds out whether the store's copy has the object.
+    // The store was restored from a backup; the next write finds out whether
+    // that has the object.
     if (result.kind === "went-back") this.ownRevision = ABSENT;
     return result.kind === "written";
   }
 
-  /** One conditional write; what another has written meanwhile is learnt. */
+  /** One conditional write; on a conflict, applies the other writer's state. */
   async writeBars(bars: readonly Bar[]): Promise<BarsWrite> {
     const { state, feed, source } = this.options;
     const item = newerItem(state.storedConfig, this.conflictItem);
-    // Written over a status that was not read, the others' bars would go.
+    // Overwriting a status that was not read would lose other entries' bars.
     if (item?.status === undefined) return "failed";
     const status = { ...fieldsOf(item.status), [BARS_FIELD]: bars };
     const { configKind: kind, configName: name } = source;
--- a/src/gateway/quarantineTrials.ts
+++ b/src/gateway/quarantineTrials.ts
@@ -1,31 +1,31 @@
 /**
- * Trials of barred requests that this process runs: one at a time in the
- * fleet, agreed in the store before anything is sent.
+ * Runs trials of barred requests. Only one trial of a request runs at a time in
+ * the fleet; it is claimed in the store before anything is sent.
  */
 import type { Bar, Quarantine } from "../quarantine/index.js";
 import type { Log } from "../telemetry/index.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { QuarantineStore } from "./quarantineStore.js";
 
-/** Writes in a row that may meet other writers. */
+/** Attempts to claim a trial that may conflict with other writers. */
 const MAX_CONFLICTS = 4;
-/** A model request may be read at one replica and run at another. */
+/** The prompt of a model request may be read on one replica and run on another. */
 const ENGINE_TRIAL_SENDS = 2;
 
-/** Sends to replicas that a trial of a request may take. */
+/** Most sends to replicas that a trial of the request may take. */
 export const maxTrialSends = (caller: CallerRequest): number =>
   caller.head.prompt === undefined ? 1 : ENGINE_TRIAL_SENDS;
 
 interface TrialRun {
   trial: Bar;
-  /** Sends that it was given. */
+  /** Sends reserved for it in the store. */
   reserved: number;
   hasSurvived: boolean;
 }
 
 export class QuarantineTrials {
   private readonly runs = new Map<CallerRequest, TrialRun>();
-  /** Digests whose trial is being asked for. */
+  /** Digests with a claim in progress. */
   private readonly claiming = new Set<string>();
 
   constructor(
@@ -35,8 +35,8 @@
   ) {}
 
   /**
-   * Whether the request may run as a trial. An answer of the store that was
-   * lost counts as no: the trial may be taken, and nobody runs it.
+   * Claims the trial of the request; whether it may run. A lost response of the
+   * store counts as no: the trial may then be claimed although nobody runs it.
    */
   async claim(caller: CallerRequest): Promise<boolean> {
     const { digest } = caller;
@@ -49,13 +49,13 @@
     }
   }
 
-  /** A run of the request ended, and its replica lived on. */
+  /** Records that a run of the request completed and its replica survived. */
   noteSurvived(caller: CallerRequest): void {
     const run = this.runs.get(caller);
     if (run !== undefined) run.hasSurvived = true;
   }
 
-  /** A request is over; whether it was a trial. */
+  /** Called when a request has ended; whether it was a trial. */
   endTrial(caller: CallerRequest): boolean {
     const run = this.runs.get(caller);
     if (run === undefined) return false;
