--- a/src/gateway/callerRequest.ts
+++ b/src/gateway/callerRequest.ts
@@ -1,4 +1,4 @@
-/** One caller's request while it is served, and how it is answered. */
+/** The state of a caller's request while it is served, and its response. */
 import type { ServerResponse } from "node:http";
 
 import { Cancellation } from "../shared/cancellation.js";
@@ -10,8 +10,8 @@
 import type { KeyClaim, Workspace } from "../workspaces/index.js";
 
 /**
- * How long past its limit a request is held for an answer that is on its
- * way, ms. A replica ends by itself at the limit.
+ * How long past its deadline a request is kept open for a response in transit,
+ * ms. The replica itself stops at the deadline.
  */
 const LATE_ANSWER_GRACE_MS = 80;
 
@@ -23,7 +23,7 @@
   claim: KeyClaim;
   body: Buffer;
   arrivedAt: number;
-  /** A request of a workspace began to run `agoMs` ago. */
+  /** Called once a replica has begun to run the request, `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void;
   codec: RequestCodec;
   log: Log;
@@ -31,7 +31,7 @@
   now: () => number;
   /** Version of the configuration that routed it. */
   configVersion: number;
-  /** The longest time that callers of this route were seen to give, ms. */
+  /** The longest deadline seen so far from callers of this route, ms. */
   maxDeadlineMs: number;
 }
 
@@ -42,23 +42,23 @@
   readonly claim: KeyClaim;
   readonly body: Buffer;
   readonly arrivedAt: number;
-  /** Instant at which the caller or the route gives up, ms. */
+  /** Instant of the caller's deadline or the route's timeout, if earlier, ms. */
   readonly deadlineAt: number;
-  /** Comes when the caller is gone or the time is over. */
+  /** Cancelled when the caller disconnects or the deadline has passed. */
   readonly cancellation = new Cancellation();
   private readonly timer: NodeJS.Timeout;
   private readonly fullDeadlineMs: number;
   private knownDigest: string | undefined;
   private hasAnswer = false;
-  private hasRun = false;
-  /** When a stream began, ms after its arrival. */
+  private hasBegun = false;
+  /** Time from arrival to the start of the stream, ms. */
   private firstMs: number | undefined;
-  /** Whether the caller went before its answer was whole. */
+  /** Whether the caller disconnected before its response was complete. */
   isCallerGone = false;
   isPastDeadline = false;
-  /** A trial of a barred request: it is sent once, and not again. */
+  /** Whether it is a trial of a barred request, which is not retried. */
   isTrial = false;
-  /** Replicas that it was sent to, in order, for the log. */
+  /** Ids of the replicas that it was sent to, in order. */
   readonly sentTo: string[] = [];
 
   constructor(private readonly options: CallerRequestOptions) {
@@ -84,7 +84,7 @@
     return this.options.res;
   }
 
-  /** What tells whether it is the same as another request. */
+  /** Identifies equal requests: host, target, workspace and body. */
   get digest(): string {
     const { host, target } = this.head;
     const workspace = this.workspace?.name ?? "";
@@ -97,13 +97,13 @@
     return this.knownDigest;
   }
 
-  /** Whether it came back after a refusal: part of its time is gone. */
+  /** Whether it looks like a retry after a refusal: its deadline is shorter. */
   get isReturn(): boolean {
     const { deadlineMs } = this.head;
     return deadlineMs !== undefined && deadlineMs < this.fullDeadlineMs;
   }
 
-  /** 0 is the most urgent; a workspace's own goes before its route's. */
+  /** 0 is the most urgent; a workspace's priority overrides its route's. */
   get priority(): number {
     return this.workspace?.priority ?? this.route.priority;
   }
@@ -112,15 +112,15 @@
     return this.claim.kind === "workspace" ? this.claim.workspace : undefined;
   }
 
-  /** A replica began to run it so long ago; counted once. */
+  /** Records that a replica began to run it `agoMs` ago; counted once. */
   markBegun(agoMs = 0): void {
-    if (this.hasRun) return;
-    this.hasRun = true;
+    if (this.hasBegun) return;
+    this.hasBegun = true;
     const { workspace } = this;
     if (workspace !== undefined) this.options.onBegun(workspace.name, agoMs);
   }
 
-  /** Time left, ms; never negative. */
+  /** Time left until the deadline, ms; never negative. */
   leftMs(): number {
     return Math.max(0, this.deadlineAt - this.options.now());
   }
@@ -129,7 +129,7 @@
     return this.options.now() - this.arrivedAt;
   }
 
-  /** Answers with a whole reply of a replica. */
+  /** Responds with a replica's complete reply. */
   answerWhole(status: number, headers: string[], body: Buffer): void {
     if (!this.startResponse("answered")) return;
     headers.push("Content-Length", String(body.length));
@@ -137,7 +137,7 @@
     this.res.end(body);
   }
 
-  /** Sends the head of a streamed reply; its end is logged, not its begin. */
+  /** Sends the head of a streamed response; logged when the stream ends. */
   startStream(status: number, headers: string[]): void {
     if (this.hasAnswer) return;
     this.hasAnswer = true;
@@ -148,7 +148,7 @@
     this.res.flushHeaders();
   }
 
-  /** A stream has ended, or its caller is gone. */
+  /** Logs the end of a stream, also if its caller has disconnected. */
   endStream(outcome: string, figures: LogFields): void {
     this.logOutcome(outcome, { firstMs: this.firstMs, ...figures });
   }
@@ -157,7 +157,7 @@
     return this.hasAnswer;
   }
 
-  /** Ends without an answer that could be taken for a whole one. */
+  /** Closes the connection, so that the response can't be taken as complete. */
   abort(why: string): void {
     this.recordOutcome("cut", { why });
     this.res.destroy();
@@ -175,7 +175,7 @@
     sendFailure(this.res, this.options.codec, failure, this.head.id);
   }
 
-  /** Counts and logs the outcome. */
+  /** Counts and logs the outcome of the request. */
   private recordOutcome(outcome: string, fields: LogFields = {}): void {
     this.countOutcome(outcome);
     this.logOutcome(outcome, fields);
@@ -200,7 +200,7 @@
       deadlineLeftMs: Math.round(this.leftMs()),
       configuration: this.options.configVersion,
       sentTo: this.sentTo.join(","),
-      // Known only of requests that were at a replica that ended.
+      // Computed on demand: set for requests that were on a replica that ended.
       digest: this.knownDigest,
       ...fields,
     });
@@ -235,7 +235,7 @@
   }
 }
 
-/** Answers with a failure in the form that callers understand. */
+/** Responds with a failure, unless the response has started or is closed. */
 export const sendFailure = (
   res: ServerResponse,
   codec: RequestCodec,
--- a/src/gateway/gatewayDaemon.ts
+++ b/src/gateway/gatewayDaemon.ts
@@ -1,4 +1,4 @@
-/** A gateway: an entry that reaches replicas without a side. */
+/** Starts a gateway: an entry that sends to replicas directly, without a side. */
 import http from "node:http";
 
 import { listen } from "../http/index.js";
@@ -22,25 +22,27 @@
 import { UpstreamClient } from "./upstreamClient.js";
 
 /**
- * How long a stopping gateway takes new requests, ms: the balancer notices
- * only after two questions, a second apart.
+ * How long a stopping gateway accepts new requests, ms: the load balancer
+ * notices only after two health checks, a second apart.
  */
 const ACCEPT_ALL_MS = 2600;
-/** Time kept for the end itself at the end of the grace, ms. */
+/** Time reserved for the final shutdown at the end of the grace period, ms. */
 const SHUTDOWN_MARGIN_MS = 500;
 const DRAIN_POLL_MS = 50;
-/** Period of dividing a replica's connections among the entries, ms. */
+/** Interval of dividing a replica's connections among the entries, ms. */
 const CONNECTION_LIMITS_INTERVAL_MS = 1000;
-/** Part of a replica's connections that entries use; the rest covers
- * entries that come and go, and orders. */
+/**
+ * Fraction of a replica's connections that entries use; the rest is reserved
+ * for entries that start or stop, and for orders.
+ */
 const CONNECTION_FRACTION = 0.8;
 const MIN_CONNECTIONS = 2;
-/** Part of its VM's processor time that an entry may use to place for all. */
+/** Fraction of its VM's CPU time that an entry may spend on placement. */
 const PLACEMENT_CPU_FRACTION = 0.5;
 
 /**
- * Part of the time for which a leaving replica goes on serving in which it is
- * used where there is no other; the rest covers callers' way to it.
+ * Fraction of a leaving replica's drain time during which it is still used if
+ * there is no other; the rest is for requests in transit to it.
  */
 const LAST_RESORT_FRACTION = 0.5;
 
@@ -50,23 +52,23 @@
   domain: string;
   callerAddress: string;
   readyAddress: string;
-  /** Where other gateways reach this one. */
+  /** Address at which other gateways reach this one. */
   peerAddress: string;
-  /** Processor time of its VM, in cores. */
+  /** CPU time of its VM, in cores. */
   processorShare: number;
-  /** Where counters and latencies are told as text; undefined: nowhere. */
+  /** Address of the metrics server; undefined: none is started. */
   metricsAddress?: string;
-  /** How long a lease outlasts its last renewal, ms. */
+  /** How long a lease is valid after its last renewal, ms. */
   leaseMs: number;
   retry: RetryLimits;
-  /** After a cut from the store has healed, it knows the news by then, ms. */
+  /** Limit on the time to catch up once the store is reachable again, ms. */
   catchUpMs: number;
   keyBounds: KeyBounds;
-  /** Undefined where the platform wants no usage report. */
+  /** Undefined if the platform requires no usage reports. */
   usage: UsageWindows | undefined;
-  /** How long a replica goes on serving after its signal that it leaves, ms. */
+  /** How long a replica keeps serving after its leaving signal, ms. */
   drainMs: number;
-  /** From the signal to stop until the process is ended, ms. */
+  /** Time from the stop signal until the process is killed, ms. */
   graceMs: number;
 }
 
@@ -182,10 +184,14 @@
   const metricsServer = newMetricsServer(metrics);
   const { metricsAddress } = settings;
   if (metricsAddress !== undefined) {
-    // Requests go before figures: an address in use is no reason not to start.
+    // Serving requests matters more than metrics: start without the metrics
+    // server if its address is in use.
     const listening = listen(metricsServer, metricsAddress);
     addresses.metrics = await listening.catch((err) => {
-      log.warn("metrics are not served", { metricsAddress, why: errText(err) });
+      log.warn("failed to start metrics server", {
+        metricsAddress,
+        why: errText(err),
+      });
       return "";
     });
   }
@@ -209,9 +215,9 @@
   new Promise((resolve) => setTimeout(resolve, ms));
 
 /**
- * Goes on until nothing is in flight and the balancer has noticed, or the
- * grace ends. The port stays open until then: where all entries of a failure
- * domain stop in turn, there may be no other to turn to.
+ * Waits until no request is in flight and the load balancer has noticed, or
+ * the grace period ends. The port stays open until then: if all entries of a
+ * failure domain stop in turn, there may be no other to send requests to.
  */
 const drain = async (
   server: GatewayServer,
--- a/src/gateway/gatewayServer.ts
+++ b/src/gateway/gatewayServer.ts
@@ -1,4 +1,7 @@
-/** Takes callers' requests: head, route, body, and the flow that serves it. */
+/**
+ * HTTP server for callers: decodes and routes each request, reads its body and
+ * passes it to the plain or the stream flow.
+ */
 import http from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 
@@ -19,17 +22,20 @@
 import { checkKey } from "../workspaces/index.js";
 import type { KeyBounds, KeyClaim } from "../workspaces/index.js";
 
-/** Room for headers beyond what the configuration allows callers, bytes. */
+/** Header size limit, bytes; above what the configuration allows callers. */
 const MAX_HEADER_BYTES = 64 * 1024;
-/** Callers reuse connections until close to their idle time, ms. */
+/**
+ * Added to the configured timeouts, ms: callers reuse connections until shortly
+ * before their idle timeout.
+ */
 const IDLE_MARGIN_MS = 2000;
-/** When to come back while no configuration is known, ms. */
+/** Retry delay for callers while no configuration is known, ms. */
 const NO_CONFIG_RETRY_MS = 500;
 
-/** Another process answers then, ms. */
+/** Retry delay while this process stops, ms; another then takes the request. */
 const STOPPING_RETRY_MS = 100;
 
-/** Serves one request whose service has been drawn. */
+/** Serves a request whose service has been chosen. */
 export interface RequestRunner {
   run(caller: CallerRequest): Promise<void>;
 }
@@ -40,7 +46,7 @@
   budgets: RetryBudgets;
   quarantine: Pick<QuarantineManager, "admit" | "onRequestEnd">;
   keyBounds: KeyBounds;
-  /** A request of a workspace began to run `agoMs` ago. */
+  /** Called once a request of a workspace has begun to run, `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void;
   plain: RequestRunner;
   stream: RequestRunner;
@@ -50,7 +56,7 @@
   now: () => number;
 }
 
-/** What was found for a request before its body is read. */
+/** Result of routing and the key check, before the body is read. */
 interface Destination {
   route: Route;
   service: string;
@@ -73,18 +79,19 @@
   retryAfterMs: STOPPING_RETRY_MS,
 };
 
-/** Instants of a planned stop, ms. */
+/** Schedule of a graceful shutdown; instants in ms. */
 export interface Drain {
+  /** From then on, only requests that end before `endsAt` are accepted. */
   acceptsAllUntil: number;
   endsAt: number;
 }
 
 export class GatewayServer {
   readonly http: Server;
-  /** Requests that are not answered yet. */
+  /** Requests without a complete response. */
   inFlight = 0;
   private drain: Drain | undefined;
-  /** Longest time that callers gave, ms, by route. */
+  /** Longest deadline that callers sent, ms, by route. */
   private readonly maxDeadlines = new Map<string, number>();
 
   constructor(private readonly options: GatewayServerOptions) {
@@ -100,8 +107,8 @@
   }
 
   /**
-   * From now on each answer closes its connection, and after a while only
-   * requests are taken that end before the process does.
+   * Starts a graceful shutdown: each response closes its connection, and after
+   * `acceptsAllUntil` only requests that end before the process are accepted.
    */
   beginDrain(drain: Drain): void {
     this.drain = drain;
@@ -109,14 +116,14 @@
 
   private onRequest(req: IncomingMessage, res: ServerResponse): void {
     this.inFlight += 1;
-    let isOver = false;
+    let isClosed = false;
     res.once("close", () => {
-      if (!isOver) this.inFlight -= 1;
-      isOver = true;
+      if (!isClosed) this.inFlight -= 1;
+      isClosed = true;
     });
     if (this.drain !== undefined) res.setHeader("Connection", "close");
     this.serve(req, res).catch((err) => {
-      this.options.log.error("request threw", { why: errText(err) });
+      this.options.log.error("request handler failed", { why: errText(err) });
       res.destroy();
     });
   }
@@ -156,7 +163,7 @@
     }
   }
 
-  /** Where it goes and for whom it runs, or why it is refused. */
+  /** Finds the route, service and workspace, or why it is refused. */
   private resolveDestination(
     head: InboundHead,
     table: RouteTable,
--- a/src/gateway/plainFlow.ts
+++ b/src/gateway/plainFlow.ts
@@ -1,4 +1,4 @@
-/** Requests to plain services: one replica, and another where that is safe. */
+/** Serves requests to plain services, with retries on other replicas if safe. */
 import { LRUCache } from "lru-cache";
 
 import { afterFailure, afterSuccess, HEALTHY } from "../routing/health.js";
@@ -27,13 +27,13 @@
   replyFault,
 } from "./verdicts.js";
 
-/** Largest answer that is held whole, bytes. */
+/** Maximum size of a buffered response, bytes. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
-/** A replica in another failure domain counts as this many requests busier. */
+/** Added to the load of replicas in another failure domain, in requests. */
 const CROSS_DOMAIN_COST = 1;
-/** Replicas whose health is remembered, the newest first. */
+/** Replicas whose health is kept; the least recently used are evicted. */
 const MAX_HEALTH_ENTRIES = 4096;
-/** Sends of one request at the most, refusals included. */
+/** Most sends of one request, including those that replicas refused. */
 const MAX_SENDS = 4;
 const HTTP_SERVER_ERROR = 500;
 const AT_LIMIT = "all replicas take no more for the moment";
@@ -57,8 +57,8 @@
   | { kind: "failed"; verdict: Verdict; why: string; fault: Fault };
 
 /**
- * What a failed send says of the replica; `unavailable`: nothing, but that it
- * wants no work now.
+ * What a failed send implies about the replica's health; `unavailable` has no
+ * effect on it: the replica only accepts no work now.
  */
 type Fault = "unreachable" | "gone" | "refused" | "unavailable" | "broken";
 
@@ -86,7 +86,7 @@
     let verdict: Verdict = "not-run";
     let why = "no replica is known";
     let runs = 0;
-    let arrivals = 0;
+    let dispatched = 0;
     let answer: Attempt | undefined;
     const maxSends = caller.isTrial ? 1 : MAX_SENDS;
     for (let sends = 0; sends < maxSends;) {
@@ -104,11 +104,11 @@
         continue;
       }
       sends += 1;
-      if (arrivals > 0 && !budgets.tryRetry(caller.service)) break;
+      if (dispatched > 0 && !budgets.tryRetry(caller.service)) break;
       tried.add(replica.id);
-      const sentTo = caller.sentTo.length;
+      const sentBefore = caller.sentTo.length;
       const attempt = await this.attempt(caller, replica, permit.permitAt);
-      arrivals += caller.sentTo.length - sentTo;
+      dispatched += caller.sentTo.length - sentBefore;
       if (attempt.kind === "answer") {
         answer = attempt;
         runs += 1;
@@ -131,8 +131,8 @@
   }
 
   /**
-   * Where all replicas back off or take no more, none of them takes it before
-   * the first that does again.
+   * If all replicas back off or are at their limits, the caller should return
+   * when the first of them accepts requests again.
    */
   private retryAfterMs({ service }: CallerRequest): number | undefined {
     const { replicas, now, rng } = this.options;
@@ -142,7 +142,7 @@
     return leftMs > 0 ? afterBackOffMs(leftMs, rng) : undefined;
   }
 
-  /** A safe request that a replica failed may do better elsewhere. */
+  /** Whether a safe request with a 5xx response is tried on another replica. */
   private shouldRetryAnswer(
     caller: CallerRequest,
     attempt: Attempt & { kind: "answer" },
@@ -208,7 +208,7 @@
   ): Promise<Attempt> {
     const { client, codec } = this.options;
     const { head, body, route, claim } = caller;
-    // A safe request that has missed its objective here tries elsewhere.
+    // A safe request that misses its objective here is retried elsewhere.
     const mayRetryElsewhere = route.kind === "safe" && route.maxAttempts > 1;
     const cancellation = new BoundedCancellation(
       caller.cancellation,
@@ -300,8 +300,9 @@
     }
     if (attempt.fault === "gone")
       this.options.replicas.markMisdirected(id, now);
-    const isAway = attempt.fault === "unreachable" || attempt.fault === "gone";
-    const next = afterFailure(health, now, isAway);
+    const isUnreachable =
+      attempt.fault === "unreachable" || attempt.fault === "gone";
+    const next = afterFailure(health, now, isUnreachable);
     this.health.set(id, next);
   }
 
--- a/src/gateway/upstreamClient.ts
+++ b/src/gateway/upstreamClient.ts
@@ -1,6 +1,6 @@
 /**
- * Sends to replicas over kept connections by Node's `http`, and says what is
- * proved when a send fails.
+ * HTTP client for replicas with keep-alive connections, on Node's `http`. For
+ * a failed send it reports whether the request may have run.
  */
 import http from "node:http";
 import net from "node:net";
@@ -10,11 +10,11 @@
 import type { Cancellation } from "../shared/cancellation.js";
 import type { Verdict } from "../shared/verdict.js";
 
-/** A connection that is not up by then counts as failed, ms. */
+/** Timeout for establishing a connection, ms. */
 const CONNECT_TIMEOUT_MS = 400;
-/** Idle connections are closed after this, ms; replicas keep them longer. */
+/** Timeout of idle connections, ms; replicas keep them longer. */
 const IDLE_TIMEOUT_MS = 5000;
-/** Part of a replica's own idle time for which a connection is reused. */
+/** Fraction of a replica's idle timeout during which a connection is reused. */
 const IDLE_FRACTION = 0.6;
 const REFUSED_CODE = "ECONNREFUSED";
 const KEEP_ALIVE_HINT = /timeout=(\d+)/;
@@ -22,29 +22,31 @@
 
 /** One request to a replica. */
 export interface UpstreamRequest {
-  /** Connections are kept and bounded by service. */
+  /** Connections are pooled and limited per service. */
   service: string;
   address: string;
   method: string;
   target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: readonly string[];
   body: Buffer;
   cancellation: Cancellation;
   /**
-   * Asked when the request is about to leave, which may be long after the
-   * send where it waits for a connection; a reason keeps it from leaving.
+   * Called just before the request is written, which may be long after the
+   * call to `send` if it waits for a connection. If it returns a reason, the
+   * request is not sent.
    */
   refusal?: () => string | undefined;
 }
 
-/** The head of an answer, and its body as it comes. */
+/** The head of a response, and its body as a stream. */
 export interface UpstreamReply {
   kind: "reply";
   res: http.IncomingMessage;
   /**
-   * Whether all of the body came. Node counts a body without a length as
-   * complete also where its connection was reset, so this is asked instead.
+   * Whether the body is complete. To be used instead of `res.complete`, since
+   * Node counts a body without a length as complete even if its connection was
+   * reset.
    */
   isWhole(): boolean;
 }
@@ -55,16 +57,16 @@
       kind: "failed";
       verdict: Verdict;
       why: string;
-      /** Nothing was sent: the replica wants nothing now. */
+      /** Nothing was sent: the replica accepts no requests now. */
       isUnavailable?: boolean;
-      /** Nobody listens at the address. */
+      /** The address refused the connection. */
       isRefused?: boolean;
     };
 
-/** What a look at an address found. */
+/** Result of probing an address. */
 export type ProbeResult = "listening" | "refused" | "unknown";
 
-/** Reuses a connection only well within the time its replica keeps it. */
+/** Reuses a connection only well within its replica's idle timeout. */
 class KeepAliveAgent extends http.Agent {
   override keepSocketAlive(socket: Socket): boolean {
     const { _httpMessage: message } = socket as Socket & {
@@ -82,10 +84,10 @@
 }
 
 export class UpstreamClient {
-  /** Connections, by service. */
+  /** Connection pools, by service. */
   private readonly agents = new Map<string, http.Agent>();
 
-  /** Resolves with the head of the answer, or with what is known instead. */
+  /** Resolves with the response head, or with what is known of the failure. */
   send(request: UpstreamRequest): Promise<SendOutcome> {
     return new Promise((resolve) => {
       const { host, port } = splitAddress(request.address);
@@ -107,11 +109,11 @@
         agent: this.agent(request.service),
       });
       const stopListening = request.cancellation.onCancel(() => {
-        // A reset, not an end: bytes that wait on the way are dropped, so
-        // that a peer that was cut off or stood still does not get them.
+        // A reset instead of a regular close drops the bytes in transit, so
+        // that a peer that was unreachable or stalled does not get them.
         if (isConnected) req.socket?.resetAndDestroy();
         req.destroy(new Error("cancelled"));
-        // Without a connection yet, Node tells nothing until there is one.
+        // Before the connection is up, Node emits no error until it is.
         if (!isConnected) fail("cancelled");
       });
       req.once("close", stopListening);
@@ -146,7 +148,7 @@
     });
   }
 
-  /** Whether anybody listens there, by a connection that is closed at once. */
+  /** Tests whether an address accepts connections; closes it at once. */
   probe(address: string): Promise<ProbeResult> {
     const { host, port } = splitAddress(address);
     return new Promise((resolve) => {
@@ -163,7 +165,7 @@
     });
   }
 
-  /** Bounds the connections to each replica of a service. */
+  /** Limits the connections to each replica of a service. */
   limitConnections(service: string, maxSockets: number): void {
     this.agent(service).maxSockets = maxSockets;
   }
@@ -186,9 +188,9 @@
 }
 
 /**
- * Libuv reports a reset that follows close behind data as a regular end. For
- * a body that ends with its connection this matters: the peer's address is
- * gone after a reset, and still there after a regular end.
+ * Detects a reset at the end of a body that is delimited by the end of its
+ * connection. Libuv reports a reset that closely follows data as a regular end,
+ * but after a reset the socket has no peer address any more.
  */
 const onResetAtEnd = (res: http.IncomingMessage, onReset: () => void): void => {
   const { headers, socket } = res;
@@ -202,7 +204,7 @@
 export type WholeBody =
   { kind: "whole"; body: Buffer } | { kind: "cut"; why: string };
 
-/** Reads an answer to its end; a cut or oversized one is told as such. */
+/** Reads a whole response body; `cut` if it was truncated or is too large. */
 export const readWholeBody = (
   { res, isWhole }: UpstreamReply,
   maxBytes: number,
