--- a/src/gateway/callerRequest.ts
+++ b/src/gateway/callerRequest.ts
@@ -47,9 +47,9 @@
   /** Cancelled when the caller disconnects or the deadline has passed. */
   readonly cancellation = new Cancellation();
   private readonly timer: NodeJS.Timeout;
-  private readonly fullDeadlineMs: number;
+  private readonly maxDeadlineMs: number;
   private knownDigest: string | undefined;
-  private hasAnswer = false;
+  private hasStartedResponse = false;
   private hasBegun = false;
   /** Time from arrival to the start of the stream, ms. */
   private firstMs: number | undefined;
@@ -69,7 +69,7 @@
     this.claim = options.claim;
     this.body = body;
     this.arrivedAt = arrivedAt;
-    this.fullDeadlineMs = options.maxDeadlineMs;
+    this.maxDeadlineMs = options.maxDeadlineMs;
     const budgetMs = Math.min(
       head.deadlineMs ?? route.timeoutMs,
       route.timeoutMs,
@@ -100,7 +100,7 @@
   /** Whether it looks like a retry after a refusal: its deadline is shorter. */
   get isReturn(): boolean {
     const { deadlineMs } = this.head;
-    return deadlineMs !== undefined && deadlineMs < this.fullDeadlineMs;
+    return deadlineMs !== undefined && deadlineMs < this.maxDeadlineMs;
   }
 
   /** 0 is the most urgent; a workspace's priority overrides its route's. */
@@ -139,8 +139,8 @@
 
   /** Sends the head of a streamed response; logged when the stream ends. */
   startStream(status: number, headers: string[]): void {
-    if (this.hasAnswer) return;
-    this.hasAnswer = true;
+    if (this.hasStartedResponse) return;
+    this.hasStartedResponse = true;
     if (this.res.destroyed) return this.recordOutcome("caller_gone");
     this.firstMs = Math.round(this.elapsedMs());
     this.countOutcome("streamed");
@@ -154,7 +154,7 @@
   }
 
   get isResponseStarted(): boolean {
-    return this.hasAnswer;
+    return this.hasStartedResponse;
   }
 
   /** Closes the connection, so that the response can't be taken as complete. */
@@ -164,7 +164,7 @@
   }
 
   fail(failure: RequestFailure): void {
-    if (this.hasAnswer) return this.abort(failure.message);
+    if (this.hasStartedResponse) return this.abort(failure.message);
     const fields = {
       verdict: failure.verdict,
       status: failure.status,
@@ -207,8 +207,8 @@
   }
 
   private startResponse(outcome: string, fields: LogFields = {}): boolean {
-    if (this.hasAnswer) return false;
-    this.hasAnswer = true;
+    if (this.hasStartedResponse) return false;
+    this.hasStartedResponse = true;
     if (this.res.destroyed) {
       this.recordOutcome("caller_gone");
       return false;
--- a/src/gateway/gatewayState.ts
+++ b/src/gateway/gatewayState.ts
@@ -181,7 +181,7 @@
 
   /** Gives up replicas that vanished and did not come back. */
   expire(): void {
-    this.logChanges(this.replicas.expire(this.now()));
+    this.logChanges(this.replicas.removeExpired(this.now()));
   }
 
   services(): readonly GatewayService[] {
--- a/src/gateway/replicaSet.ts
+++ b/src/gateway/replicaSet.ts
@@ -185,7 +185,7 @@
   }
 
   /** Removes entries whose grace period is over. */
-  expire(now: number): ReplicaChange[] {
+  removeExpired(now: number): ReplicaChange[] {
     const gone: ReplicaChange[] = [];
     for (const { replica, vanishedAt } of [...this.entries.values()]) {
       if (vanishedAt === undefined) continue;
--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -93,7 +93,7 @@
     set.remove("a", 0, true);
     expect(ids(set, VANISHED_GRACE_MS - 1)).to.deep.equal(["a"]);
     expect(ids(set, VANISHED_GRACE_MS)).to.deep.equal([]);
-    expect(set.expire(VANISHED_GRACE_MS)).to.have.length(1);
+    expect(set.removeExpired(VANISHED_GRACE_MS)).to.have.length(1);
   });
 
   it("one that comes back is no longer given up", () => {
