--- a/src/gateway/callerRequest.ts
+++ b/src/gateway/callerRequest.ts
@@ -1,19 +1,19 @@
-/** One caller's request while it is served, and how it is answered. */
+/** The state of a caller's request while it is served, and its response. */
 import type { ServerResponse } from "node:http";
 
 import { Cancellation } from "../shared/cancellation.js";
 import type { RequestFailure } from "../shared/errors.js";
 import type { Log, LogFields, Metrics } from "../telemetry/index.js";
 import { requestDigest } from "../quarantine/index.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 import type { InboundHead, Route } from "./types.js";
 import type { CallerIdentity, Workspace } from "../workspaces/index.js";
 
 /**
- * How long past its limit a request is held for an answer that is on its
- * way, ms. A replica ends by itself at the limit.
+ * How long past its deadline a request is kept open for a response in transit,
+ * ms. The replica itself stops at the deadline.
  */
-const LAST_ANSWER_MS = 80;
+const LATE_ANSWER_GRACE_MS = 80;
 
 export interface CallerRequestOptions {
   res: ServerResponse;
@@ -23,16 +23,16 @@
   claim: CallerIdentity;
   body: Buffer;
   arrivedAt: number;
-  /** A request of a workspace began to run `agoMs` ago. */
+  /** Called once a replica has begun to run the request, `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   metrics: Metrics;
   now: () => number;
   /** Version of the configuration that routed it. */
   configVersion: number;
-  /** The longest time that callers of this route were seen to give, ms. */
-  fullDeadlineMs: number;
+  /** The longest deadline seen so far from callers of this route, ms. */
+  maxDeadlineMs: number;
 }
 
 export class CallerRequest {
@@ -42,23 +42,23 @@
   readonly claim: CallerIdentity;
   readonly body: Buffer;
   readonly arrivedAt: number;
-  /** Instant at which the caller or the route gives up, ms. */
+  /** Instant of the caller's deadline or the route's timeout, if earlier, ms. */
   readonly deadlineAt: number;
-  /** Comes when the caller is gone or the time is over. */
+  /** Cancelled when the caller disconnects or the deadline has passed. */
   readonly cancellation = new Cancellation();
   private readonly timer: NodeJS.Timeout;
-  private readonly fullDeadlineMs: number;
+  private readonly maxDeadlineMs: number;
   private knownDigest: string | undefined;
-  private isAnswered = false;
-  private hasRun = false;
-  /** When a stream began, ms after its arrival. */
+  private hasStartedResponse = false;
+  private hasBegun = false;
+  /** Time from arrival to the start of the stream, ms. */
   private firstMs: number | undefined;
-  /** Whether the caller went before its answer was whole. */
+  /** Whether the caller disconnected before its response was complete. */
   isCallerGone = false;
-  isOverdue = false;
-  /** A trial of a barred request: it is sent once, and not again. */
+  isPastDeadline = false;
+  /** Whether it is a trial of a barred request, which is not retried. */
   isTrial = false;
-  /** Replicas that it was sent to, in order, for the log. */
+  /** Ids of the replicas that it was sent to, in order. */
   readonly sentTo: string[] = [];
 
   constructor(private readonly options: CallerRequestOptions) {
@@ -69,14 +69,14 @@
     this.claim = options.claim;
     this.body = body;
     this.arrivedAt = arrivedAt;
-    this.fullDeadlineMs = options.fullDeadlineMs;
+    this.maxDeadlineMs = options.maxDeadlineMs;
     const budgetMs = Math.min(
       head.deadlineMs ?? route.timeoutMs,
       route.timeoutMs,
     );
     this.deadlineAt = arrivedAt + budgetMs;
-    const left = Math.max(0, this.deadlineAt + LAST_ANSWER_MS - now());
-    this.timer = setTimeout(() => this.onOverdue(), left);
+    const left = Math.max(0, this.deadlineAt + LATE_ANSWER_GRACE_MS - now());
+    this.timer = setTimeout(() => this.onDeadline(), left);
     res.on("close", () => this.onClose());
   }
 
@@ -84,7 +84,7 @@
     return this.options.res;
   }
 
-  /** What tells whether it is the same as another request. */
+  /** Identifies equal requests: host, target, workspace and body. */
   get digest(): string {
     const { host, target } = this.head;
     const workspace = this.workspace?.name ?? "";
@@ -97,13 +97,13 @@
     return this.knownDigest;
   }
 
-  /** Whether it came back after a refusal: part of its time is gone. */
+  /** Whether it looks like a retry after a refusal: its deadline is shorter. */
   get isReturn(): boolean {
     const { deadlineMs } = this.head;
-    return deadlineMs !== undefined && deadlineMs < this.fullDeadlineMs;
+    return deadlineMs !== undefined && deadlineMs < this.maxDeadlineMs;
   }
 
-  /** 0 is the most urgent; a workspace's own goes before its route's. */
+  /** 0 is the most urgent; a workspace's priority overrides its route's. */
   get priority(): number {
     return this.workspace?.priority ?? this.route.priority;
   }
@@ -112,15 +112,15 @@
     return this.claim.kind === "workspace" ? this.claim.workspace : undefined;
   }
 
-  /** A replica began to run it so long ago; counted once. */
-  noteBegun(agoMs = 0): void {
-    if (this.hasRun) return;
-    this.hasRun = true;
+  /** Records that a replica began to run it `agoMs` ago; counted once. */
+  markBegun(agoMs = 0): void {
+    if (this.hasBegun) return;
+    this.hasBegun = true;
     const { workspace } = this;
     if (workspace !== undefined) this.options.onBegun(workspace.name, agoMs);
   }
 
-  /** Time left, ms; never negative. */
+  /** Time left until the deadline, ms; never negative. */
   leftMs(): number {
     return Math.max(0, this.deadlineAt - this.options.now());
   }
@@ -129,59 +129,59 @@
     return this.options.now() - this.arrivedAt;
   }
 
-  /** Answers with a whole reply of a replica. */
+  /** Responds with a replica's complete reply. */
   answerWhole(status: number, headers: string[], body: Buffer): void {
-    if (!this.begin("answered")) return;
+    if (!this.startResponse("answered")) return;
     headers.push("Content-Length", String(body.length));
     this.writeHead(status, headers);
     this.res.end(body);
   }
 
-  /** Sends the head of a streamed reply; its end is logged, not its begin. */
-  beginStream(status: number, headers: string[]): void {
-    if (this.isAnswered) return;
-    this.isAnswered = true;
-    if (this.res.destroyed) return this.note("caller_gone");
+  /** Sends the head of a streamed response; logged when the stream ends. */
+  startStream(status: number, headers: string[]): void {
+    if (this.hasStartedResponse) return;
+    this.hasStartedResponse = true;
+    if (this.res.destroyed) return this.recordOutcome("caller_gone");
     this.firstMs = Math.round(this.elapsedMs());
-    this.count("streamed");
+    this.countOutcome("streamed");
     this.writeHead(status, headers);
     this.res.flushHeaders();
   }
 
-  /** A stream has ended, or its caller is gone. */
+  /** Logs the end of a stream, also if its caller has disconnected. */
   endStream(outcome: string, figures: LogFields): void {
-    this.log(outcome, { firstMs: this.firstMs, ...figures });
+    this.logOutcome(outcome, { firstMs: this.firstMs, ...figures });
   }
 
-  get hasBegun(): boolean {
-    return this.isAnswered;
+  get isResponseStarted(): boolean {
+    return this.hasStartedResponse;
   }
 
-  /** Ends without an answer that could be taken for a whole one. */
-  cut(why: string): void {
-    this.note("cut", { why });
+  /** Closes the connection, so that the response can't be taken as complete. */
+  abort(why: string): void {
+    this.recordOutcome("cut", { why });
     this.res.destroy();
   }
 
   fail(failure: RequestFailure): void {
-    if (this.isAnswered) return this.cut(failure.message);
+    if (this.hasStartedResponse) return this.abort(failure.message);
     const fields = {
       verdict: failure.verdict,
       status: failure.status,
       why: failure.message,
       retryAfterMs: failure.retryAfterMs,
     };
-    if (!this.begin(failure.code, fields)) return;
-    sendFailure(this.res, this.options.form, failure, this.head.id);
+    if (!this.startResponse(failure.code, fields)) return;
+    sendFailure(this.res, this.options.codec, failure, this.head.id);
   }
 
-  /** Counts and logs the outcome. */
-  private note(outcome: string, fields: LogFields = {}): void {
-    this.count(outcome);
-    this.log(outcome, fields);
+  /** Counts and logs the outcome of the request. */
+  private recordOutcome(outcome: string, fields: LogFields = {}): void {
+    this.countOutcome(outcome);
+    this.logOutcome(outcome, fields);
   }
 
-  private count(outcome: string): void {
+  private countOutcome(outcome: string): void {
     const { metrics } = this.options;
     const className = this.route.name;
     metrics.count("request", { class: className, outcome });
@@ -189,7 +189,7 @@
     metrics.latency(className, owner, this.elapsedMs());
   }
 
-  private log(outcome: string, fields: LogFields): void {
+  private logOutcome(outcome: string, fields: LogFields): void {
     this.options.log.info("request", {
       requestId: this.head.id,
       route: this.route.name,
@@ -200,20 +200,20 @@
       deadlineLeftMs: Math.round(this.leftMs()),
       configuration: this.options.configVersion,
       sentTo: this.sentTo.join(","),
-      // Known only of requests that were at a replica that ended.
+      // Computed on demand: set for requests that were on a replica that ended.
       digest: this.knownDigest,
       ...fields,
     });
   }
 
-  private begin(outcome: string, fields: LogFields = {}): boolean {
-    if (this.isAnswered) return false;
-    this.isAnswered = true;
+  private startResponse(outcome: string, fields: LogFields = {}): boolean {
+    if (this.hasStartedResponse) return false;
+    this.hasStartedResponse = true;
     if (this.res.destroyed) {
-      this.note("caller_gone");
+      this.recordOutcome("caller_gone");
       return false;
     }
-    this.note(outcome, fields);
+    this.recordOutcome(outcome, fields);
     return true;
   }
 
@@ -222,8 +222,8 @@
     this.res.writeHead(status, headers);
   }
 
-  private onOverdue(): void {
-    this.isOverdue = true;
+  private onDeadline(): void {
+    this.isPastDeadline = true;
     this.cancellation.cancel();
   }
 
@@ -235,15 +235,15 @@
   }
 }
 
-/** Answers with a failure in the form that callers understand. */
+/** Responds with a failure, unless the response has started or is closed. */
 export const sendFailure = (
   res: ServerResponse,
-  form: RequestForm,
+  codec: RequestCodec,
   failure: RequestFailure,
   requestId: string,
 ): void => {
   if (res.headersSent || res.destroyed) return;
-  const answer = form.failureAnswer(failure, requestId);
+  const answer = codec.failureAnswer(failure, requestId);
   const length = String(Buffer.byteLength(answer.body));
   res.writeHead(answer.status, [...answer.headers, "Content-Length", length]);
   res.end(answer.body);
--- a/src/gateway/engineFailureReporter.ts
+++ b/src/gateway/engineFailureReporter.ts
@@ -62,7 +62,7 @@
     const { caller, grantId } = progress;
     const event = { kind: "wrong-stage" as const, id: grantId, engine };
     this.options.placement.note(caller.service, event);
-    this.options.replicas.deny(engine, this.options.now());
+    this.options.replicas.markMisdirected(engine, this.options.now());
     const why = "engine has changed stage or is gone";
     this.logSendFailure(caller, engine, "place", why);
     return {
--- a/src/gateway/engineRun.ts
+++ b/src/gateway/engineRun.ts
@@ -32,7 +32,7 @@
     grant: Grant,
     handle: KvHandle | undefined,
   ): Promise<RoundResult> {
-    const { form, now } = this.options;
+    const { codec, now } = this.options;
     const { runner } = grant;
     const runnerPrefills = grant.reader === undefined;
     const { caller, relay } = progress;
@@ -71,7 +71,7 @@
       return { ...sent, avoid: runner };
     }
     const { res } = sent;
-    const reply = form.readReply(res.statusCode ?? 0, res.headers);
+    const reply = codec.readReply(res.statusCode ?? 0, res.headers);
     if (reply.isMisdirected) {
       res.resume();
       return this.failures.onWrongStage(progress, runner);
@@ -94,8 +94,8 @@
     }
     const isGood = reply.status >= 200 && reply.status < 300;
     if (!isGood) return this.answerFailure(progress, sent, runner);
-    const headers = form.answerHeaders(res.rawHeaders);
-    caller.beginStream(reply.status, headers);
+    const headers = codec.answerHeaders(res.rawHeaders);
+    caller.startStream(reply.status, headers);
     const end = await relay.run(sent);
     const stats = { ...relay.stats() };
     switch (end.kind) {
@@ -133,9 +133,9 @@
     const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
     const status = res.statusCode ?? 0;
     const why = `engine failed with status ${status}`;
-    const isFinal = whole.kind === "whole" && !caller.hasBegun;
+    const isFinal = whole.kind === "whole" && !caller.isResponseStarted;
     if (isFinal && !canRetry({ ...progress, verdict: "may-have-run" })) {
-      const headers = this.options.form.answerHeaders(res.rawHeaders);
+      const headers = this.options.codec.answerHeaders(res.rawHeaders);
       caller.answerWhole(status, headers, whole.body);
       return { kind: "done" };
     }
--- a/src/gateway/engineWatch.ts
+++ b/src/gateway/engineWatch.ts
@@ -6,7 +6,7 @@
 import { BoundedCancellation, Cancellation } from "../shared/cancellation.js";
 import { errText } from "../shared/utils.js";
 import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
-import { isOtherLife } from "./replicaSet.js";
+import { isDifferentIncarnation } from "./replicaSet.js";
 import type { EngineCallsOptions } from "./engineCalls.js";
 import { readWholeBody } from "./upstreamClient.js";
 
@@ -51,12 +51,12 @@
     service: string,
     id: string,
   ): Promise<EngineActivity> {
-    const { replicas, client, form } = this.options;
+    const { replicas, client, codec } = this.options;
     const replica = replicas.get(id);
     if (replica === undefined) return "idle";
     const cancellation = new BoundedCancellation(undefined, PROBE_TIMEOUT_MS);
     try {
-      const call = form.reportCall(replica);
+      const call = codec.reportCall(replica);
       const purpose = "question";
       const sent = await client.send(replica, {
         ...call,
@@ -66,10 +66,10 @@
       if (sent.kind === "failed") return "silent";
       const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
       if (whole.kind === "cut") return "silent";
-      const report = form.readReport(whole.body.toString("utf8"));
+      const report = codec.readReport(whole.body.toString("utf8"));
       const { running, waiting } = report;
       // An engine that restarted has lost the requests of its previous run.
-      if (isOtherLife(replica, report)) return "idle";
+      if (isDifferentIncarnation(replica, report)) return "idle";
       return running + waiting > 0 ? "working" : "idle";
     } finally {
       cancellation.dispose();
--- a/src/gateway/gatewayServer.ts
+++ b/src/gateway/gatewayServer.ts
@@ -1,4 +1,7 @@
-/** Takes callers' requests: head, route, body, and the flow that serves it. */
+/**
+ * HTTP server for callers: decodes and routes each request, reads its body and
+ * passes it to the plain or the stream flow.
+ */
 import http from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 
@@ -9,9 +12,9 @@
 import type { Log, Metrics } from "../telemetry/index.js";
 import { CallerRequest, sendFailure } from "./callerRequest.js";
 import type { GatewayState } from "./gatewayState.js";
-import type { QuarantineKeeper } from "./quarantineKeeper.js";
-import { isFailure } from "./requestForm.js";
-import type { RequestForm } from "./requestForm.js";
+import type { QuarantineManager } from "./quarantineManager.js";
+import { isFailure } from "./requestCodec.js";
+import type { RequestCodec } from "./requestCodec.js";
 import type { RetryBudgets } from "./retryBudgets.js";
 import { drawService } from "./routeTable.js";
 import type { RouteTable } from "./routeTable.js";
@@ -19,28 +22,31 @@
 import { checkKey } from "../workspaces/index.js";
 import type { KeyBounds, CallerIdentity } from "../workspaces/index.js";
 
-/** Room for headers beyond what the configuration allows callers, bytes. */
+/** Header size limit, bytes; above what the configuration allows callers. */
 const MAX_HEADER_BYTES = 64 * 1024;
-/** Callers reuse connections until close to their idle time, ms. */
+/**
+ * Added to the configured timeouts, ms: callers reuse connections until shortly
+ * before their idle timeout.
+ */
 const IDLE_MARGIN_MS = 2000;
-/** When to come back while no configuration is known, ms. */
+/** Retry delay for callers while no configuration is known, ms. */
 const NO_CONFIG_RETRY_MS = 500;
 
-/** Another process answers then, ms. */
-const LEAVING_RETRY_MS = 100;
+/** Retry delay while this process stops, ms; another then takes the request. */
+const STOPPING_RETRY_MS = 100;
 
-/** Serves one request whose service has been drawn. */
+/** Serves a request whose service has been chosen. */
 export interface RequestRunner {
   run(caller: CallerRequest): Promise<void>;
 }
 
 export interface GatewayServerOptions {
   state: GatewayState;
-  form: RequestForm;
+  codec: RequestCodec;
   budgets: RetryBudgets;
-  quarantine: Pick<QuarantineKeeper, "admit" | "settle">;
+  quarantine: Pick<QuarantineManager, "admit" | "onRequestEnd">;
   keyBounds: KeyBounds;
-  /** A request of a workspace began to run `agoMs` ago. */
+  /** Called once a request of a workspace has begun to run, `agoMs` ago. */
   onBegun(workspace: string, agoMs: number): void;
   plain: RequestRunner;
   stream: RequestRunner;
@@ -50,8 +56,8 @@
   now: () => number;
 }
 
-/** What was found for a request before its body is read. */
-interface Way {
+/** Result of routing and the key check, before the body is read. */
+interface Destination {
   route: Route;
   service: string;
   claim: CallerIdentity;
@@ -68,24 +74,25 @@
   retryAfterMs: NO_CONFIG_RETRY_MS,
 };
 
-const LEAVING: RequestFailure = {
+const STOPPING: RequestFailure = {
   ...failure(503, "leaving", "this process is about to stop"),
-  retryAfterMs: LEAVING_RETRY_MS,
+  retryAfterMs: STOPPING_RETRY_MS,
 };
 
-/** Instants of a planned stop, ms. */
+/** Schedule of a graceful shutdown; instants in ms. */
 export interface Drain {
-  takesAllUntil: number;
+  /** From then on, only requests that end before `endsAt` are accepted. */
+  acceptsAllUntil: number;
   endsAt: number;
 }
 
 export class GatewayServer {
   readonly http: Server;
-  /** Requests that are not answered yet. */
+  /** Requests without a complete response. */
   inFlight = 0;
   private drain: Drain | undefined;
-  /** Longest time that callers gave, ms, by route. */
-  private readonly fullDeadlines = new Map<string, number>();
+  /** Longest deadline that callers sent, ms, by route. */
+  private readonly maxDeadlines = new Map<string, number>();
 
   constructor(private readonly options: GatewayServerOptions) {
     this.http = http.createServer(
@@ -100,8 +107,8 @@
   }
 
   /**
-   * From now on each answer closes its connection, and after a while only
-   * requests are taken that end before the process does.
+   * Starts a graceful shutdown: each response closes its connection, and after
+   * `acceptsAllUntil` only requests that end before the process are accepted.
    */
   beginDrain(drain: Drain): void {
     this.drain = drain;
@@ -109,14 +116,14 @@
 
   private onRequest(req: IncomingMessage, res: ServerResponse): void {
     this.inFlight += 1;
-    let isOver = false;
+    let isClosed = false;
     res.once("close", () => {
-      if (!isOver) this.inFlight -= 1;
-      isOver = true;
+      if (!isClosed) this.inFlight -= 1;
+      isClosed = true;
     });
     if (this.drain !== undefined) res.setHeader("Connection", "close");
     this.serve(req, res).catch((err) => {
-      this.options.log.error("request threw", { why: errText(err) });
+      this.options.log.error("request handler failed", { why: errText(err) });
       res.destroy();
     });
   }
@@ -125,19 +132,26 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
-    const { form, state, now } = this.options;
+    const { codec, state, now } = this.options;
     const arrivedAt = now();
-    const head = form.decode(req);
+    const head = codec.decode(req);
     if (isFailure(head)) return this.refuse(req, res, "", head);
     const table = state.routes;
     if (table === undefined) return this.refuse(req, res, head.id, NO_CONFIG);
-    const way = this.findWay(head, table);
-    if ("verdict" in way) return this.refuse(req, res, head.id, way);
+    const destination = this.resolveDestination(head, table);
+    if ("verdict" in destination)
+      return this.refuse(req, res, head.id, destination);
     const limit = table.config.limits.maxBodyBytes;
     const body = await this.readBody(req, res, head, limit);
     if (body === undefined) return;
-    const caller = this.admit(res, head, way, body, arrivedAt);
-    const isEngine = table.service(way.service)?.engine !== undefined;
+    const caller = this.createCallerRequest(
+      res,
+      head,
+      destination,
+      body,
+      arrivedAt,
+    );
+    const isEngine = table.service(destination.service)?.engine !== undefined;
     const flow = isEngine ? this.options.stream : this.options.plain;
     const { quarantine } = this.options;
     const barred = await quarantine.admit(caller);
@@ -145,12 +159,15 @@
     try {
       await flow.run(caller);
     } finally {
-      quarantine.settle(caller);
+      quarantine.onRequestEnd(caller);
     }
   }
 
-  /** Where it goes and for whom it runs, or why it is refused. */
-  private findWay(head: InboundHead, table: RouteTable): Way | RequestFailure {
+  /** Finds the route, service and workspace, or why it is refused. */
+  private resolveDestination(
+    head: InboundHead,
+    table: RouteTable,
+  ): Destination | RequestFailure {
     const { state, rng, keyBounds } = this.options;
     const route = table.match(head.host, head.target);
     const service = route && drawService(route, rng);
@@ -165,15 +182,15 @@
       bounds: keyBounds,
     });
     if (verdict.kind === "refused") return verdict.failure;
-    if (!this.mayTake(route, head)) return LEAVING;
+    if (!this.accepts(route, head)) return STOPPING;
     return { route, service, claim: verdict.claim };
   }
 
-  private mayTake(route: Route, head: InboundHead): boolean {
+  private accepts(route: Route, head: InboundHead): boolean {
     if (this.drain === undefined) return true;
     const now = this.options.now();
-    const { takesAllUntil, endsAt } = this.drain;
-    if (now < takesAllUntil) return true;
+    const { acceptsAllUntil, endsAt } = this.drain;
+    if (now < acceptsAllUntil) return true;
     const budgetMs = Math.min(
       head.deadlineMs ?? route.timeoutMs,
       route.timeoutMs,
@@ -181,15 +198,15 @@
     return now + budgetMs < endsAt;
   }
 
-  private admit(
+  private createCallerRequest(
     res: ServerResponse,
     head: InboundHead,
-    { route, service, claim }: Way,
+    { route, service, claim }: Destination,
     body: Buffer,
     arrivedAt: number,
   ): CallerRequest {
-    const { form, log, metrics, now, budgets, onBegun } = this.options;
-    budgets.earn(service);
+    const { codec, log, metrics, now, budgets, onBegun } = this.options;
+    budgets.recordRequest(service);
     return new CallerRequest({
       res,
       head,
@@ -199,19 +216,19 @@
       body,
       arrivedAt,
       onBegun,
-      form,
+      codec,
       log,
       metrics,
       now,
       configVersion: this.options.state.routes?.version ?? 0,
-      fullDeadlineMs: this.fullDeadline(route, head),
+      maxDeadlineMs: this.maxDeadlineOf(route, head),
     });
   }
 
-  private fullDeadline(route: Route, head: InboundHead): number {
-    const known = this.fullDeadlines.get(route.name) ?? 0;
+  private maxDeadlineOf(route: Route, head: InboundHead): number {
+    const known = this.maxDeadlines.get(route.name) ?? 0;
     const longest = Math.max(known, head.deadlineMs ?? 0);
-    if (longest > known) this.fullDeadlines.set(route.name, longest);
+    if (longest > known) this.maxDeadlines.set(route.name, longest);
     return longest;
   }
 
@@ -240,7 +257,7 @@
     id: string,
     why: RequestFailure,
   ): void {
-    const { form, log, metrics } = this.options;
+    const { codec, log, metrics } = this.options;
     metrics.count("request", { class: "none", outcome: why.code });
     log.info("request", {
       requestId: id,
@@ -249,6 +266,6 @@
       configuration: this.options.state.routes?.version,
     });
     req.resume();
-    sendFailure(res, form, why, id);
+    sendFailure(res, codec, why, id);
   }
 }
--- a/src/gateway/gatewayState.ts
+++ b/src/gateway/gatewayState.ts
@@ -184,7 +184,7 @@
 
   /** Removes replicas that vanished and did not come back in time. */
   expire(): void {
-    this.logChanges(this.replicas.expire(this.now()));
+    this.logChanges(this.replicas.removeExpired(this.now()));
   }
 
   services(): readonly GatewayService[] {
--- a/src/gateway/leaseHolderTasks.ts
+++ b/src/gateway/leaseHolderTasks.ts
@@ -9,7 +9,7 @@
 import { CacheListLoader } from "./cacheListLoader.js";
 import type { GatewayState } from "./gatewayState.js";
 import type { ReplicaClient } from "./replicaClient.js";
-import type { RequestForm } from "./requestForm.js";
+import type { RequestCodec } from "./requestCodec.js";
 import { StageController } from "./stageController.js";
 
 export interface LeaseHolderTasksOptions {
@@ -24,7 +24,7 @@
   placement: SharedPlacement;
   client: ReplicaClient;
   rates: RateLimits;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   now: () => number;
 }
@@ -76,7 +76,7 @@
 
   private newStageController(service: string): StageController {
     const { id, orderLeaseMs, state, local, placement, ...rest } = this.options;
-    const { client, rates, form, log, now } = rest;
+    const { client, rates, codec, log, now } = rest;
     return new StageController({
       service,
       self: id,
@@ -86,7 +86,7 @@
       authority: placement,
       client,
       rates,
-      form,
+      codec,
       log,
       now,
     });
--- a/src/gateway/quarantineKeeper.ts
+++ b/src/gateway/quarantineManager.ts
@@ -1,6 +1,6 @@
 /**
- * Bars requests that end their replicas, at one entry: refuses them, and
- * shares with the fleet what this entry has seen.
+ * Quarantines requests that crash the replicas that run them: refuses barred
+ * requests at this entry and shares its observations with the fleet.
  */
 import { Quarantine } from "../quarantine/index.js";
 import type { Bar } from "../quarantine/index.js";
@@ -9,46 +9,47 @@
 import type { Supervisor } from "../tasks/index.js";
 import type { Log, Metrics } from "../telemetry/index.js";
 import type { CallerRequest } from "./callerRequest.js";
-import { barsIn, QuarantineStore } from "./quarantineStore.js";
+import { parseBars, QuarantineStore } from "./quarantineStore.js";
 import type { QuarantineStoreOptions } from "./quarantineStore.js";
-import { QuarantineTrials, trialSends } from "./quarantineTrials.js";
-import type { ReplicaEnd } from "./replicaEnds.js";
+import { QuarantineTrials, maxTrialSends } from "./quarantineTrials.js";
+import type { ReplicaEnd } from "./replicaEndDetector.js";
 
-/** Period of looking whether there is anything to share, ms. */
-const STEP_MS = 50;
+/** Interval between checks for observations to share, ms. */
+const SHARE_INTERVAL_MS = 50;
 /**
- * Ends of one replica are told request by request, and a popular request
- * that was there by chance ends well elsewhere meanwhile, ms.
+ * Delay before new observations are shared, ms. The end of one replica is
+ * reported request by request, and a popular request that was there by chance
+ * completes on another replica in the meantime.
  */
-const GATHER_MS = 100;
-/** Pause after a call to the store that failed, ms. */
+const BATCH_DELAY_MS = 100;
+/** Retry interval after a failed store call, ms. */
 const RETRY_MS = 500;
-/** Writes of the bars in a row that may meet other writers. */
+/** Attempts to write the bars that may conflict with other writers. */
 const MAX_CONFLICTS = 4;
 const MS_PER_SECOND = 1000;
 
-export interface QuarantineKeeperOptions extends QuarantineStoreOptions {
+export interface QuarantineManagerOptions extends QuarantineStoreOptions {
   log: Log;
   metrics: Metrics;
   now: () => number;
   wallNow: () => number;
 }
 
-export class QuarantineKeeper {
+export class QuarantineManager {
   private readonly quarantine: Quarantine;
   private readonly store: QuarantineStore;
   private readonly trials: QuarantineTrials;
-  /** Steps of the bars in the store, and those that were logged. */
-  private storedSteps = new Map<string, number>();
-  private loggedSteps = new Map<string, number>();
+  /** Steps of the bars in the store, and last logged steps, by digest. */
+  private storedBarSteps = new Map<string, number>();
+  private loggedBarSteps = new Map<string, number>();
   private hasRestored = false;
-  /** Since when there is something to tell, ms. */
-  private newsSince: number | undefined;
-  /** An end is among the news, so that the others' records matter. */
+  /** Instant of the oldest observation not shared yet, ms. */
+  private unsharedSince: number | undefined;
+  /** Unshared observations include an end, so others' records are needed. */
   private hasNewEnds = false;
   private retryAt = 0;
 
-  constructor(private readonly options: QuarantineKeeperOptions) {
+  constructor(private readonly options: QuarantineManagerOptions) {
     const { self, log, now, wallNow } = options;
     this.quarantine = new Quarantine(self, now, wallNow);
     this.store = new QuarantineStore(options);
@@ -56,35 +57,40 @@
   }
 
   start(supervisor: Supervisor): void {
-    supervisor.every("quarantine", STEP_MS, () => this.step());
+    supervisor.every("quarantine", SHARE_INTERVAL_MS, () => this.step());
   }
 
   onEnd({ replica, requests }: ReplicaEnd): void {
     this.quarantine.noteEnd(requests, replica.id);
-    this.newsSince ??= this.options.now();
+    this.unsharedSince ??= this.options.now();
     this.hasNewEnds = true;
-    this.announce();
+    this.logBarChanges();
   }
 
   onSurvived(caller: CallerRequest): void {
     if (!this.quarantine.mightKnow(caller.body.length)) return;
     this.trials.noteSurvived(caller);
     const isNews = this.quarantine.noteSurvived(caller.digest);
-    if (isNews) this.newsSince ??= this.options.now();
+    if (isNews) this.unsharedSince ??= this.options.now();
   }
 
-  /** What lies beside the configuration in the store. */
+  /** Handles the status that is stored with the configuration. */
   onStatus(status: unknown): void {
-    const bars = barsIn(status);
-    this.storedSteps = new Map(bars.map(({ digest, step }) => [digest, step]));
+    const bars = parseBars(status);
+    this.storedBarSteps = new Map(
+      bars.map(({ digest, step }) => [digest, step]),
+    );
     this.quarantine.learnBars(bars);
-    this.announce();
+    this.logBarChanges();
   }
 
-  /** Before anything is done for a request: why it may not run. */
+  /** Called before a request is processed; why it may not run, if so. */
   async admit(caller: CallerRequest): Promise<RequestFailure | undefined> {
     if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
-    const verdict = this.quarantine.verdict(caller.digest, trialSends(caller));
+    const verdict = this.quarantine.verdict(
+      caller.digest,
+      maxTrialSends(caller),
+    );
     if (verdict.kind === "free") return undefined;
     const mayTry = verdict.kind === "may-try";
     if (mayTry && (await this.trials.claim(caller))) return undefined;
@@ -92,7 +98,7 @@
     return this.failure(verdict.bar);
   }
 
-  /** Before each send: a bar may have come since the request did. */
+  /** Called before each send: a bar may be newer than the request. */
   refusal(caller: CallerRequest): RequestFailure | undefined {
     if (caller.isTrial) return undefined;
     if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
@@ -100,12 +106,12 @@
     return bar && this.failure(bar);
   }
 
-  /** A request is over. */
-  settle(caller: CallerRequest): void {
-    if (this.trials.settle(caller)) this.announce();
+  /** Called when a request has ended. */
+  onRequestEnd(caller: CallerRequest): void {
+    if (this.trials.endTrial(caller)) this.logBarChanges();
   }
 
-  /** Shares what is new; only then calls are made. */
+  /** Shares new observations and bars; makes no store calls without any. */
   async step(): Promise<void> {
     const now = this.options.now();
     if (now < this.retryAt) return;
@@ -113,31 +119,32 @@
       if (await this.share(now)) return;
     } catch (err) {
       const why = errText(err);
-      this.options.log.warn("ends of replicas not read", { why });
+      this.options.log.warn("failed to share quarantine records", { why });
     }
     this.retryAt = this.options.now() + RETRY_MS;
   }
 
   private async share(now: number): Promise<boolean> {
     if (!this.hasRestored) await this.restore();
-    const { newsSince } = this;
-    const isDue = newsSince !== undefined && now - newsSince >= GATHER_MS;
-    if (isDue && !(await this.shareEnds(newsSince))) return false;
+    const { unsharedSince } = this;
+    const isDue =
+      unsharedSince !== undefined && now - unsharedSince >= BATCH_DELAY_MS;
+    if (isDue && !(await this.shareEnds(unsharedSince))) return false;
     return !this.hasUnstoredBars || (await this.shareBars());
   }
 
-  /** Takes up what an earlier life of this process, and others, have seen. */
+  /** Loads the records of this process before its restart, and of others. */
   private async restore(): Promise<void> {
     const { all, own } = await this.store.readEnds();
     this.quarantine.restore(own);
     this.quarantine.learnEnds(all);
     this.hasRestored = true;
-    this.announce();
+    this.logBarChanges();
   }
 
   private async shareEnds(since: number): Promise<boolean> {
     const { hasNewEnds } = this;
-    this.newsSince = undefined;
+    this.unsharedSince = undefined;
     this.hasNewEnds = false;
     let isShared = false;
     try {
@@ -146,7 +153,7 @@
       if (isWritten && hasNewEnds) await this.learnEnds();
       isShared = isWritten;
     } finally {
-      if (!isShared) this.newsSince = since;
+      if (!isShared) this.unsharedSince = since;
       if (!isShared) this.hasNewEnds ||= hasNewEnds;
     }
     return isShared;
@@ -155,13 +162,15 @@
   private async learnEnds(): Promise<void> {
     const { all } = await this.store.readEnds();
     this.quarantine.learnEnds([...all, this.quarantine.toRecord()]);
-    this.announce();
+    this.logBarChanges();
   }
 
   private get hasUnstoredBars(): boolean {
     return this.quarantine
       .allBars()
-      .some(({ digest, step }) => step > (this.storedSteps.get(digest) ?? 0));
+      .some(
+        ({ digest, step }) => step > (this.storedBarSteps.get(digest) ?? 0),
+      );
   }
 
   private async shareBars(): Promise<boolean> {
@@ -183,11 +192,13 @@
     };
   }
 
-  /** Logs each step of each bar once. */
-  private announce(): void {
+  /** Logs and counts each step of each bar once. */
+  private logBarChanges(): void {
     const bars = this.quarantine.allBars();
-    const before = this.loggedSteps;
-    this.loggedSteps = new Map(bars.map(({ digest, step }) => [digest, step]));
+    const before = this.loggedBarSteps;
+    this.loggedBarSteps = new Map(
+      bars.map(({ digest, step }) => [digest, step]),
+    );
     for (const bar of bars) {
       const { digest, step, state, lives, sends, by } = bar;
       if (step <= (before.get(digest) ?? 0)) continue;
--- a/src/gateway/quarantineStore.ts
+++ b/src/gateway/quarantineStore.ts
@@ -1,8 +1,9 @@
 /**
- * Where the fleet's knowledge of requests that end their replicas lies. What
- * each process has seen: an object of its own. The bars: the status beside
- * the configuration, which every entry follows anyway, so that a bar is in
- * force as a configuration is, and nothing is asked while nothing ends.
+ * Stores the fleet's records of requests that crash replicas. Each process
+ * writes its observations to an object of its own. The bars are in the status
+ * stored with the configuration, which every entry watches anyway: bars take
+ * effect like a configuration, and no extra calls are made while no replica
+ * ends.
  */
 import { z } from "zod/v4";
 
@@ -12,9 +13,9 @@
 import type { FeedItem, ObjectFeed } from "../store/index.js";
 import type { GatewaySource, GatewayState } from "./gatewayState.js";
 
-/** Object kind of what processes have seen; named by the process. */
+/** Kind of the objects with observed ends; named after the process. */
 const ENDS_KIND = "replica-ends";
-/** Field of the status beside the configuration. */
+/** Field of the status stored with the configuration. */
 const BARS_FIELD = "quarantine";
 
 const barSchema = z.object({
@@ -32,8 +33,8 @@
 const fieldsOf = (value: unknown): Record<string, unknown> =>
   typeof value === "object" && value !== null ? { ...value } : {};
 
-/** Bars that can be read; others are another writer's, and say nothing. */
-export const barsIn = (status: unknown): Bar[] => {
+/** Bars in a status; items that don't match the schema are ignored. */
+export const parseBars = (status: unknown): Bar[] => {
   const listed = fieldsOf(status)[BARS_FIELD];
   if (!Array.isArray(listed)) return [];
   return listed.flatMap((item) => {
@@ -42,18 +43,18 @@
   });
 };
 
-const endsIn = ({ value }: FeedItem): EndRecord => {
+const parseEnds = ({ value }: FeedItem): EndRecord => {
   const read = endsSchema.safeParse(value);
   return read.success ? read.data : {};
 };
 
-const newerOf = (
+const newerItem = (
   left: FeedItem | undefined,
   right: FeedItem | undefined,
 ): FeedItem | undefined =>
   (left?.revision ?? ABSENT) >= (right?.revision ?? ABSENT) ? left : right;
 
-/** What all processes have seen, and this one in an earlier life. */
+/** Records of all processes, and of this one (possibly before a restart). */
 export interface SeenEnds {
   all: EndRecord[];
   own: EndRecord;
@@ -70,44 +71,46 @@
 }
 
 export class QuarantineStore {
-  /** Of this process's object. */
-  private revision = ABSENT;
-  /** The configuration's object as a write has met it; it may be unreadable. */
-  private met: FeedItem | undefined;
+  /** Revision of this process's object. */
+  private ownRevision = ABSENT;
+  /** Configuration object from the last conflict; it may be undecodable. */
+  private conflictItem: FeedItem | undefined;
 
   constructor(private readonly options: QuarantineStoreOptions) {}
 
-  /** Errors are `StoreError`. */
+  /** Throws `StoreError`. */
   async readEnds(): Promise<SeenEnds> {
     const { feed, self } = this.options;
     const { items } = await feed.list(ENDS_KIND);
     const own = items.find(({ name }) => name === self);
-    if (own !== undefined) this.revision = own.revision;
+    if (own !== undefined) this.ownRevision = own.revision;
     return {
-      all: items.map(endsIn),
-      own: own === undefined ? {} : endsIn(own),
+      all: items.map(parseEnds),
+      own: own === undefined ? {} : parseEnds(own),
     };
   }
 
-  /** Whether it took effect. */
+  /** Whether the record was written. */
   async writeEnds(record: EndRecord): Promise<boolean> {
     const { feed, self } = this.options;
-    const result = await feed.write(ENDS_KIND, self, record, this.revision);
-    if (result.kind === "written") this.revision = result.item.revision;
-    // Only this process writes it: an answer that was lost, or an earlier life.
+    const result = await feed.write(ENDS_KIND, self, record, this.ownRevision);
+    if (result.kind === "written") this.ownRevision = result.item.revision;
+    // Only this process writes the object: either the response to a write was
+    // lost, or the process wrote it before a restart.
     if (result.kind === "conflict") {
-      this.revision = result.current?.revision ?? ABSENT;
+      this.ownRevision = result.current?.revision ?? ABSENT;
     }
-    // The next write finds out whether the store's copy has the object.
-    if (result.kind === "went-back") this.revision = ABSENT;
+    // The store was restored from a backup; the next write finds out whether
+    // that has the object.
+    if (result.kind === "went-back") this.ownRevision = ABSENT;
     return result.kind === "written";
   }
 
-  /** One conditional write; what another has written meanwhile is learnt. */
+  /** One conditional write; on a conflict, applies the other writer's state. */
   async writeBars(bars: readonly Bar[]): Promise<BarsWrite> {
     const { state, feed, source } = this.options;
-    const item = newerOf(state.storedConfig, this.met);
-    // Written over a status that was not read, the others' bars would go.
+    const item = newerItem(state.storedConfig, this.conflictItem);
+    // Overwriting a status that was not read would lose other entries' bars.
     if (item?.status === undefined) return "failed";
     const status = { ...fieldsOf(item.status), [BARS_FIELD]: bars };
     const { configKind: kind, configName: name } = source;
@@ -118,7 +121,7 @@
         return "written";
       case "conflict":
         if (result.current === undefined) return "failed";
-        this.met = result.current;
+        this.conflictItem = result.current;
         state.onConfigItem(result.current);
         return "conflict";
       case "refused":
--- /dev/null
+++ b/src/gateway/replicaEndDetector.ts
@@ -0,0 +1,204 @@
+/**
+ * Detects unplanned ends of replicas, as opposed to interrupted responses. An
+ * interrupted response alone proves little, since replicas drop responses and
+ * connections reset. An end is confirmed if the replica's address refuses
+ * connections, or if the replica leaves the list soon afterwards.
+ */
+import type { IncomingMessage } from "node:http";
+
+import type { Log, Metrics } from "../telemetry/index.js";
+import type { CallerRequest } from "./callerRequest.js";
+import type { ReplicaSet } from "./replicaSet.js";
+import type { Replica, UpstreamSend } from "./types.js";
+import type { SendOutcome, UpstreamClient } from "./upstreamClient.js";
+
+/**
+ * A replica removed from the list within this time of an interrupted response
+ * ended then, ms: an entry expires after three heartbeats of up to 1.5 s.
+ */
+const CONFIRM_MS = 5000;
+/**
+ * A request whose caller disconnected at most this long before the replica
+ * ended may still have run there, ms; most replicas drop it at once.
+ */
+const CALLER_LEFT_MS = 1000;
+/** Interval between probes of one address, ms; interruptions come in bursts. */
+const PROBE_INTERVAL_MS = 100;
+/** Most replicas whose interrupted responses are remembered. */
+const MAX_REPLICAS = 256;
+/** Most requests remembered per replica; a replica has no more slots. */
+const MAX_REQUESTS = 256;
+/** Most digests in one log line. */
+const MAX_LOGGED = 8;
+
+/** What confirmed the end of a replica. */
+export type EndEvidence = "nobody listens" | "left the list";
+
+export interface ReplicaEnd {
+  replica: Replica;
+  evidence: EndEvidence;
+  /** Digests of the requests whose responses were interrupted. */
+  requests: string[];
+}
+
+export interface ReplicaEndDetectorOptions {
+  replicas: ReplicaSet;
+  client: UpstreamClient;
+  log: Log;
+  metrics: Metrics;
+  now: () => number;
+}
+
+/** Interrupted responses of one replica, and whether its end is confirmed. */
+interface InterruptedAnswers {
+  replica: Replica;
+  /** Instant until which an end is attributed to the request, ms, by digest. */
+  requests: Map<string, number>;
+  evidence: EndEvidence | undefined;
+  /** A probe is running, or finished less than an interval ago. */
+  isProbing: boolean;
+  /** Another response was interrupted after that probe had begun. */
+  mustProbeAgain: boolean;
+}
+
+export class ReplicaEndDetector {
+  private readonly interrupted = new Map<string, InterruptedAnswers>();
+  /** Called for each end, and for requests attributed to it later. */
+  onEnd: (end: ReplicaEnd) => void = () => undefined;
+  /** Called when a run completed and its replica survived. */
+  onSurvived: (caller: CallerRequest) => void = () => undefined;
+
+  constructor(private readonly options: ReplicaEndDetectorOptions) {}
+
+  /** Watches one send until its end. `isRefused`: the replica did not run it. */
+  track(
+    caller: CallerRequest,
+    replica: Replica,
+    phase: UpstreamSend["phase"],
+    outcome: SendOutcome,
+    isRefused: (res: IncomingMessage) => boolean,
+  ): void {
+    if (outcome.kind === "failed") {
+      if (outcome.verdict !== "not-run") this.onInterrupted(caller, replica);
+      return;
+    }
+    const { res, isWhole } = outcome;
+    res.once("close", () => {
+      if (!isWhole()) return this.onInterrupted(caller, replica);
+      this.onCompleteAnswer(replica);
+      if (phase === "run" && !isRefused(res)) this.onSurvived(caller);
+    });
+  }
+
+  /** The replica went silent; it may have ended with its connections open. */
+  onStalled(caller: CallerRequest, replicaId: string): void {
+    const replica = this.options.replicas.get(replicaId);
+    if (replica !== undefined) this.onInterrupted(caller, replica);
+  }
+
+  /** A replica was removed from the list. */
+  onReplicaRemoved(replica: Replica): void {
+    const known = this.interrupted.get(replica.id);
+    if (known === undefined || replica.state !== "ready") return;
+    this.confirm(known, "left the list");
+  }
+
+  /** A complete response disproves an end that had been confirmed. */
+  private onCompleteAnswer(replica: Replica): void {
+    if (this.interrupted.get(replica.id)?.evidence === undefined) return;
+    this.interrupted.delete(replica.id);
+  }
+
+  private onInterrupted(caller: CallerRequest, replica: Replica): void {
+    // A replica that was leaving has ended as planned.
+    const listed = this.options.replicas.get(replica.id);
+    if (listed?.state !== "ready") return;
+    const now = this.options.now();
+    const known = this.recordFor(replica);
+    // If the caller disconnected, this process closed the connection.
+    const hasLeft = caller.cancellation.isCancelled;
+    const until = now + (hasLeft ? CALLER_LEFT_MS : CONFIRM_MS);
+    this.remember(known, caller.digest, until);
+    if (known.evidence !== undefined) {
+      if (!hasLeft) this.report(known, [caller.digest]);
+      return;
+    }
+    if (!hasLeft) this.probe(known);
+  }
+
+  private remember(
+    { requests }: InterruptedAnswers,
+    digest: string,
+    until: number,
+  ): void {
+    const now = this.options.now();
+    if (requests.size >= MAX_REQUESTS) {
+      for (const [known, limit] of requests) {
+        if (limit < now) requests.delete(known);
+      }
+    }
+    const isFull = requests.size >= MAX_REQUESTS;
+    if (isFull && !requests.has(digest)) return;
+    requests.set(digest, Math.max(until, requests.get(digest) ?? 0));
+  }
+
+  private recordFor(replica: Replica): InterruptedAnswers {
+    const { id } = replica;
+    const known = this.interrupted.get(id);
+    if (known !== undefined) return known;
+    const fresh: InterruptedAnswers = {
+      replica,
+      requests: new Map(),
+      evidence: undefined,
+      isProbing: false,
+      mustProbeAgain: false,
+    };
+    this.interrupted.set(id, fresh);
+    const [oldest] = this.interrupted.keys();
+    if (this.interrupted.size > MAX_REPLICAS && oldest !== undefined) {
+      this.interrupted.delete(oldest);
+    }
+    return fresh;
+  }
+
+  /** If the address still accepts connections, the list may confirm the end. */
+  private probe(known: InterruptedAnswers): void {
+    known.mustProbeAgain = known.isProbing;
+    if (known.isProbing) return;
+    known.isProbing = true;
+    void this.options.client.probe(known.replica.address).then((found) => {
+      if (found === "refused") return this.confirm(known, "nobody listens");
+      setTimeout(() => {
+        known.isProbing = false;
+        if (known.mustProbeAgain) this.probe(known);
+      }, PROBE_INTERVAL_MS).unref();
+    });
+  }
+
+  private confirm(known: InterruptedAnswers, evidence: EndEvidence): void {
+    if (known.evidence !== undefined) return;
+    known.evidence = evidence;
+    this.options.metrics.count("replica_ended", { how: evidence });
+    const now = this.options.now();
+    const there = [...known.requests].filter(([, until]) => until >= now);
+    this.report(
+      known,
+      there.map(([digest]) => digest),
+    );
+  }
+
+  private report(
+    { replica, evidence }: InterruptedAnswers,
+    requests: string[],
+  ): void {
+    if (evidence === undefined || requests.length === 0) return;
+    this.options.log.info("replica ended", {
+      replica: replica.id,
+      address: replica.address,
+      evidence,
+      requests: requests.length,
+      digests: requests.slice(0, MAX_LOGGED).join(","),
+    });
+    this.onEnd({ replica, evidence, requests });
+  }
+}
--- a/src/gateway/replicaSet.ts
+++ b/src/gateway/replicaSet.ts
@@ -1,33 +1,33 @@
 /**
- * The replicas that the store lists, life by life: one that has started again
- * holds nothing of what it held, also where it keeps its name. Pure. An entry
- * that vanishes while the store is in trouble may have lapsed although its
- * replica lives: it is kept for a short time, and given up if it does not
- * come back.
+ * The replicas listed in the store, one entry per incarnation: a restarted
+ * replica has lost its state even if it keeps its name. An entry that vanishes
+ * while the store is unstable may have expired although its replica is alive,
+ * so it is kept for a short grace period before it is removed. No I/O.
  */
 import { ReplicaSignals } from "./replicaSignals.js";
 import type { EngineReport, Replica } from "./types.js";
 
 /**
- * How long a replica is used after its entry vanished in trouble, ms. Living
- * replicas write again within two seconds; the bound on leaving replicas is
- * two seconds on the smallest deployments, so it ends a little before.
+ * How long a replica is still used after its entry vanished while the store
+ * was unstable, ms. Live replicas rewrite their entries within two seconds. The
+ * time limit for leaving replicas is two seconds on the smallest deployments,
+ * so the grace period ends slightly earlier.
  */
-export const VANISHED_KEEP_MS = 1700;
+export const VANISHED_GRACE_MS = 1700;
 
 /**
- * How long a replica is not used that another answered for, ms. The entry of
- * one that has crashed goes after three heartbeats, a few seconds.
+ * How long a replica is not used after another one responded at its address,
+ * ms. A crashed replica's entry expires after three heartbeats, a few seconds.
  */
-const DENIED_MS = 4000;
+const MISDIRECTED_MS = 4000;
 
-interface Known {
+interface SetEntry {
   replica: Replica;
   /** Revision of the entry's last change in the store. */
   revision: number;
-  /** Not used until then: it answered that it is another one, ms. */
-  deniedUntil: number;
-  /** Instant at which its entry vanished, ms. */
+  /** Not used before this instant: another replica has its address, ms. */
+  misdirectedUntil: number;
+  /** Instant at which its entry vanished, ms; undefined while listed. */
   vanishedAt: number | undefined;
 }
 
@@ -37,29 +37,36 @@
   revision?: number;
 }
 
-/** What a change of the list came to, for the log. */
+/** A change of the replica list, for the log. */
 export type ReplicaChange = {
   kind: "added" | "changed" | "vanished" | "gone";
   replica: Replica;
 };
 
-const isNewer = (left: Known, right: Known, now: number): boolean => {
-  const isLeftDenied = left.deniedUntil > now;
-  const isRightDenied = right.deniedUntil > now;
+const takesPrecedence = (
+  left: SetEntry,
+  right: SetEntry,
+  now: number,
+): boolean => {
+  const isLeftDenied = left.misdirectedUntil > now;
+  const isRightDenied = right.misdirectedUntil > now;
   if (isLeftDenied !== isRightDenied) return isRightDenied;
   return left.revision > right.revision;
 };
 
-/** An entry that does not say when its life began goes on with the known one. */
-const inLifeOf = (entry: Replica, known: Replica | undefined): Replica => {
+/** An entry without a start time is taken as the known incarnation's. */
+const withKnownIncarnation = (
+  entry: Replica,
+  known: Replica | undefined,
+): Replica => {
   const isSilent = entry.startedAt === undefined && known !== undefined;
   return isSilent
     ? { ...entry, id: known.id, startedAt: known.startedAt }
     : entry;
 };
 
-/** Whether a report comes from another life than the one that is known. */
-export const isOtherLife = (
+/** Whether a report comes from another incarnation than the listed one. */
+export const isDifferentIncarnation = (
   replica: Replica,
   report: Pick<EngineReport, "startedAt">,
 ): boolean =>
@@ -68,14 +75,14 @@
   replica.startedAt !== report.startedAt;
 
 export class ReplicaSet {
-  /** What they have said of themselves. */
+  /** Leaving and back-off signals of the replicas. */
   readonly signals: ReplicaSignals;
-  /** By id of the life. */
-  private readonly known = new Map<string, Known>();
-  /** Ids of the lives that names stand for. */
-  private readonly lives = new Map<string, string>();
+  /** By id of the incarnation. */
+  private readonly entries = new Map<string, SetEntry>();
+  /** Id of the current incarnation, by name. */
+  private readonly idsByName = new Map<string, string>();
   private services: ReadonlySet<string> | undefined;
-  /** Grows with each change. */
+  /** Incremented on each change. */
   revision = 0;
 
   /** `lastResortMs`: see `Availability`. */
@@ -84,17 +91,17 @@
   }
 
   get(id: string): Replica | undefined {
-    return this.known.get(id)?.replica;
+    return this.entries.get(id)?.replica;
   }
 
   /**
-   * A replica wrote its entry; `revision`: of that change in the store. A
-   * newer life ends the one before; what an older one wrote comes too late.
+   * Adds or updates an entry; `revision`: store revision of that write. A newer
+   * incarnation replaces the previous one; writes of an older one are ignored.
    */
   put(entry: Replica, revision = 0, now = 0): ReplicaChange[] {
     const before = this.byName(entry.name);
-    const replica = inLifeOf(entry, before?.replica);
-    const known = this.known.get(replica.id);
+    const replica = withKnownIncarnation(entry, before?.replica);
+    const known = this.entries.get(replica.id);
     const isOlderLife =
       (replica.startedAt ?? 0) < (before?.replica.startedAt ?? 0) ||
       (known !== undefined && revision < known.revision);
@@ -103,21 +110,21 @@
     if (before !== undefined && before !== known) {
       changes.push(this.delete(before.replica));
     }
-    // A store that comes back from a copy may say `ready` of it once more.
-    if (replica.state === "draining") this.signals.leave(replica.id, now);
+    // A store restored from a backup may list it as `ready` again.
+    if (replica.state === "draining") this.signals.markLeaving(replica.id, now);
     this.revision += 1;
-    this.lives.set(replica.name, replica.id);
-    this.known.set(replica.id, {
+    this.idsByName.set(replica.name, replica.id);
+    this.entries.set(replica.id, {
       replica,
       revision,
-      deniedUntil: known?.deniedUntil ?? 0,
+      misdirectedUntil: known?.misdirectedUntil ?? 0,
       vanishedAt: undefined,
     });
     changes.push({ kind: known === undefined ? "added" : "changed", replica });
     return changes;
   }
 
-  /** An entry vanished; `inTrouble`: the store was not steady lately. */
+  /** Handles a vanished entry; `inTrouble`: the store was unstable recently. */
   remove(
     name: string,
     now: number,
@@ -132,13 +139,13 @@
     return { kind: "vanished", replica };
   }
 
-  /** Its entry can't be read any more: it names no replica. */
+  /** Removes a replica whose entry can't be decoded any more. */
   drop(name: string): ReplicaChange | undefined {
     const known = this.byName(name);
     return known && this.delete(known.replica);
   }
 
-  /** The whole list was read: what it lacks has vanished. */
+  /** Applies a full list read from the store; missing entries have vanished. */
   replace(
     listed: readonly ListedReplica[],
     now: number,
@@ -146,7 +153,7 @@
   ): ReplicaChange[] {
     const names = new Set(listed.map(({ replica }) => replica.name));
     const changes: ReplicaChange[] = [];
-    for (const name of [...this.lives.keys()]) {
+    for (const name of [...this.idsByName.keys()]) {
       if (names.has(name)) continue;
       const change = this.remove(name, now, inTrouble);
       if (change !== undefined) changes.push(change);
@@ -157,7 +164,7 @@
     return changes;
   }
 
-  /** The services of the configuration; without one, all count. */
+  /** Sets the configured services; until then every service is accepted. */
   setServices(names: Iterable<string>): void {
     this.services = new Set(names);
     this.revision += 1;
@@ -167,50 +174,50 @@
     return this.services?.has(name) ?? true;
   }
 
-  private byName(name: string): Known | undefined {
-    const id = this.lives.get(name);
-    return id === undefined ? undefined : this.known.get(id);
+  private byName(name: string): SetEntry | undefined {
+    const id = this.idsByName.get(name);
+    return id === undefined ? undefined : this.entries.get(id);
   }
 
   private delete(replica: Replica): ReplicaChange {
     this.revision += 1;
-    this.known.delete(replica.id);
-    this.lives.delete(replica.name);
+    this.entries.delete(replica.id);
+    this.idsByName.delete(replica.name);
     return { kind: "gone", replica };
   }
 
-  /** Gives up what vanished too long ago. */
-  expire(now: number): ReplicaChange[] {
+  /** Removes entries whose grace period is over. */
+  removeExpired(now: number): ReplicaChange[] {
     const gone: ReplicaChange[] = [];
-    for (const { replica, vanishedAt } of [...this.known.values()]) {
+    for (const { replica, vanishedAt } of [...this.entries.values()]) {
       if (vanishedAt === undefined) continue;
-      if (now - vanishedAt < VANISHED_KEEP_MS) continue;
+      if (now - vanishedAt < VANISHED_GRACE_MS) continue;
       gone.push(this.delete(replica));
     }
     return gone;
   }
 
-  /** Another one answered at its address: it is not used for a while. */
-  deny(id: string, now: number): void {
-    const known = this.known.get(id);
+  /** Another replica responded at its address: it is not used for a while. */
+  markMisdirected(id: string, now: number): void {
+    const known = this.entries.get(id);
     if (known === undefined) return;
-    known.deniedUntil = now + DENIED_MS;
+    known.misdirectedUntil = now + MISDIRECTED_MS;
     this.revision += 1;
   }
 
   /**
-   * The replicas that may get new work. Of those that are listed at one
-   * address only the newest lives: a replica that has crashed stays listed
-   * for three heartbeats beside the one that took its place. An entry of a
-   * service that the configuration does not name takes no place.
+   * The replicas that may get new work. Of several listed at one address only
+   * the newest is alive: a crashed replica stays listed for three heartbeats
+   * beside its replacement. Entries of services that are not configured are
+   * ignored.
    */
   usable(service: string, now: number): Replica[] {
-    const newest = new Map<string, Known>();
-    for (const known of this.known.values()) {
+    const newest = new Map<string, SetEntry>();
+    for (const known of this.entries.values()) {
       const { address } = known.replica;
       if (!this.isService(known.replica.service)) continue;
       const other = newest.get(address);
-      if (other === undefined || isNewer(known, other, now)) {
+      if (other === undefined || takesPrecedence(known, other, now)) {
         newest.set(address, known);
       }
     }
@@ -218,26 +225,30 @@
     for (const { replica, vanishedAt } of newest.values()) {
       if (replica.service !== service || replica.state !== "ready") continue;
       const isLost =
-        vanishedAt !== undefined && now - vanishedAt >= VANISHED_KEEP_MS;
+        vanishedAt !== undefined && now - vanishedAt >= VANISHED_GRACE_MS;
       if (!isLost) found.push(replica);
     }
-    return this.signals.staying(found, now);
+    return this.signals.withoutLeaving(found, now);
   }
 
-  /** Until when `usable` gives the same if nothing changes, ms. */
+  /** Instant until which `usable` stays valid if no entry changes, ms. */
   usableUntil(now: number): number {
     const { signals } = this;
     let until = Infinity;
-    for (const { replica, vanishedAt, deniedUntil } of this.known.values()) {
-      if (deniedUntil > now) until = Math.min(until, deniedUntil);
-      until = Math.min(until, signals.leavingUntil(replica.id, now));
+    for (const {
+      replica,
+      vanishedAt,
+      misdirectedUntil,
+    } of this.entries.values()) {
+      if (misdirectedUntil > now) until = Math.min(until, misdirectedUntil);
+      until = Math.min(until, signals.leavingUnchangedUntil(replica.id, now));
       if (vanishedAt === undefined) continue;
-      until = Math.min(until, vanishedAt + VANISHED_KEEP_MS);
+      until = Math.min(until, vanishedAt + VANISHED_GRACE_MS);
     }
     return until;
   }
 
   get size(): number {
-    return this.known.size;
+    return this.entries.size;
   }
 }
--- a/src/gateway/replicaSignals.ts
+++ b/src/gateway/replicaSignals.ts
@@ -1,19 +1,19 @@
 /**
- * What the listed replicas have said of themselves, as those ask who choose
- * one, send to one, or tell a caller when to come back. The signals themselves
- * are judged by `Availability`.
+ * Answers queries about the signals of listed replicas: for choosing a
+ * replica, for sending to it, and for a caller's retry delay. `Availability`
+ * interprets the signals themselves.
  */
 import type { Replica, ReplicaSignal } from "./types.js";
 import { Availability } from "./availability.js";
 import type {
-  Unavailable,
-  UnavailableLife,
+  UnavailableReason,
+  UnavailableReplica,
   SignalChange,
 } from "./availability.js";
 
-/** The list that the signals are of. */
+/** The replica list that the signals refer to. */
 export interface ListedReplicas {
-  /** Grows with each change of what may be used. */
+  /** Incremented on each change of the usable replicas. */
   revision: number;
   get(id: string): Replica | undefined;
   usable(service: string, now: number): Replica[];
@@ -31,70 +31,72 @@
   }
 
   /**
-   * An answer of that life says this of it; `isProven`: the answer belongs to
-   * the request that was sent.
+   * Records the signal in a response of that replica; `isProven`: the response
+   * belongs to the request that was sent.
    */
-  note(
+  record(
     id: string,
     signal: ReplicaSignal,
     isProven: boolean,
     now: number,
   ): SignalChange {
-    const change = this.availability.note(id, signal, isProven, now);
+    const change = this.availability.record(id, signal, isProven, now);
     if (change !== undefined) this.replicas.revision += 1;
     return change;
   }
 
-  /** Another process heard it say that it leaves. */
-  leave(id: string, now: number): void {
-    const change = this.availability.leave(id, now);
+  /** Records a leaving signal that another process received. */
+  markLeaving(id: string, now: number): void {
+    const change = this.availability.markLeaving(id, now);
     if (change !== undefined) this.replicas.revision += 1;
   }
 
-  /** Why no work goes to it; undefined: it may get some. */
+  /** Why it may get no work; undefined if it may. */
   refusal(id: string, now: number): string | undefined {
     return this.refusalFor(id, now, this.availability.refusal(id, now));
   }
 
-  /** The same for work that leaves now. */
-  take(id: string, now: number): string | undefined {
-    return this.refusalFor(id, now, this.availability.take(id, now));
+  /** Like `refusal`, for work that is sent now; see `Availability`. */
+  refusalAtSend(id: string, now: number): string | undefined {
+    return this.refusalFor(id, now, this.availability.refusalAtSend(id, now));
   }
 
-  /** Replicas of a service that want no work of this process now. */
-  unavailable(service: string, now: number): string[] {
-    return this.spoken(service, now).flatMap(({ life }) =>
-      this.refusal(life, now) === undefined ? [] : [life],
+  /** Ids of a service's replicas that accept no work from this process now. */
+  unavailableIds(service: string, now: number): string[] {
+    return this.unavailableOfService(service, now).flatMap(({ id }) =>
+      this.refusal(id, now) === undefined ? [] : [id],
     );
   }
 
-  /** Instants at which back-offs of a service's replicas end. */
+  /** Instants at which the back-offs of a service's replicas end, ms, by id. */
   backOffEnds(service: string, now: number): Map<string, number> {
     const ends = new Map<string, number>();
-    for (const { life, why } of this.spoken(service, now)) {
-      if (why.kind === "backing-off") ends.set(life, why.untilMs);
+    for (const { id, reason } of this.unavailableOfService(service, now)) {
+      if (reason.kind === "backing-off") ends.set(id, reason.untilMs);
     }
     return ends;
   }
 
-  /** Replicas of a service that have said something that counts. */
-  private spoken(service: string, now: number): UnavailableLife[] {
-    const all = this.availability.all(now);
-    return all.filter(
-      ({ life }) => this.replicas.get(life)?.service === service,
-    );
+  /** Replicas of a service with a leaving signal or back-off in force. */
+  private unavailableOfService(
+    service: string,
+    now: number,
+  ): UnavailableReplica[] {
+    const all = this.availability.unavailableReplicas(now);
+    return all.filter(({ id }) => this.replicas.get(id)?.service === service);
   }
 
-  /** Whether it wants no work now. */
+  /** Whether it is leaving or backs off now. */
   isUnavailable(id: string, now: number): boolean {
     return this.availability.refusal(id, now) !== undefined;
   }
 
   /**
-   * Where all that may be used back off: time until the first end, ms; else 0.
-   * `heldUntil`: until when a replica is left out for another reason.
+   * Time until the first usable replica accepts requests again, ms, if all of
+   * them back off or are held back; otherwise 0. `heldUntil`: instant until
+   * which a replica is left out for another reason.
    */
-  allBackOffLeftMs(
+  untilAvailableMs(
     service: string,
     now: number,
     heldUntil: (id: string) => number = () => now,
@@ -109,7 +111,7 @@
   private refusalFor(
     id: string,
     now: number,
-    unavailable: Unavailable | undefined,
+    unavailable: UnavailableReason | undefined,
   ): string | undefined {
     if (this.replicas.get(id)?.state !== "ready") {
       return "the replica is leaving or gone";
@@ -121,8 +123,11 @@
     return "the replica says that it leaves";
   }
 
-  /** Those that leave only where there is no other, and for a short time. */
-  staying(replicas: Replica[], now: number): Replica[] {
+  /**
+   * Drops leaving replicas. If all are leaving, those that began recently
+   * remain as a last resort.
+   */
+  withoutLeaving(replicas: Replica[], now: number): Replica[] {
     const { availability } = this;
     const staying = replicas.filter(
       ({ id }) => availability.refusal(id, now)?.kind !== "leaving",
@@ -131,8 +136,8 @@
     return replicas.filter(({ id }) => availability.isLastResort(id, now));
   }
 
-  /** Until when its signal that it leaves means the same, ms. */
-  leavingUntil(id: string, now: number): number {
-    return this.availability.leavingUntil(id, now);
+  /** Instant of the next change of its leaving state, ms; Infinity if none. */
+  leavingUnchangedUntil(id: string, now: number): number {
+    return this.availability.leavingUnchangedUntil(id, now);
   }
 }
--- a/src/gateway/requestProgress.ts
+++ b/src/gateway/requestProgress.ts
@@ -5,7 +5,7 @@
 import { worseVerdict } from "../shared/verdict.js";
 import type { CallerRequest } from "./callerRequest.js";
 import { StreamRelay } from "./streamRelay.js";
-import { overdueFailure } from "./verdicts.js";
+import { deadlineFailure } from "./verdicts.js";
 
 /** Maximum placement rounds of one request. */
 const MAX_ROUNDS = 4;
@@ -79,7 +79,7 @@
   verdict: Verdict = "not-run",
 ): RoundResult => {
   const worse = worseVerdict(progress.verdict, verdict);
-  return { kind: "refused", failure: overdueFailure(worse) };
+  return { kind: "refused", failure: deadlineFailure(worse) };
 };
 
 /**
@@ -94,10 +94,10 @@
   const { caller, avoid, grantId } = progress;
   const { prompt } = caller.head;
   const elapsedMs = caller.elapsedMs();
-  const objectiveMs = caller.hasBegun
+  const objectiveMs = caller.isResponseStarted
     ? caller.leftMs()
     : caller.route.objectiveMs - elapsedMs;
-  const maxGapLeftMs = caller.hasBegun
+  const maxGapLeftMs = caller.isResponseStarted
     ? caller.leftMs()
     : caller.route.maxEventGapMs - elapsedMs;
   return {
--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -12,10 +12,10 @@
 import type { RateLimits } from "../rateLimits/index.js";
 import { BoundedCancellation } from "../shared/cancellation.js";
 import type { Log } from "../telemetry/index.js";
-import { isOtherLife } from "./replicaSet.js";
+import { isDifferentIncarnation } from "./replicaSet.js";
 import type { ReplicaClient, SendPurpose } from "./replicaClient.js";
 import type { ReplicaSet } from "./replicaSet.js";
-import type { ReplicaCall, RequestForm } from "./requestForm.js";
+import type { ReplicaCall, RequestCodec } from "./requestCodec.js";
 import type { Replica } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
@@ -45,7 +45,7 @@
   authority: HolderAuthority;
   client: ReplicaClient;
   rates: Pick<RateLimits, "binds">;
-  form: RequestForm;
+  codec: RequestCodec;
   log: Log;
   now: () => number;
 }
@@ -165,22 +165,22 @@
     stage: Stage,
     fence: number,
   ): Promise<OrderOutcome> {
-    const { form, self, service, authority, replicas, now } = this.options;
+    const { codec, self, service, authority, replicas, now } = this.options;
     const reported = await this.call(
       replica,
-      form.reportCall(replica),
+      codec.reportCall(replica),
       "question",
     );
     if (reported.kind !== "accepted") return { ...reported, kind: "refused" };
-    const report = form.readReport(reported.why);
+    const report = codec.readReport(reported.why);
     if (report.isBusy)
       return { kind: "refused", why: "engine is executing another order" };
-    if (isOtherLife(replica, report)) {
-      replicas.deny(replica.id, now());
+    if (isDifferentIncarnation(replica, report)) {
+      replicas.markMisdirected(replica.id, now());
       return { kind: "refused", why: "engine has restarted" };
     }
     const { orders } = report;
-    const order = form.stageOrder(replica, stage, self, fence, orders);
+    const order = codec.stageOrder(replica, stage, self, fence, orders);
     if (!authority.isFresh(service) || authority.epoch(service) !== fence) {
       return {
         kind: "refused",
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -78,7 +78,7 @@
       const sends = caller.sentTo.length - sentBefore;
       // The retry budget was charged for one send; a round may take two.
       if (sentBefore > 0 && sends > 1)
-        budgets.charge(caller.service, sends - 1);
+        budgets.recordRetries(caller.service, sends - 1);
       if (round.kind === "done") return;
       if (round.kind === "refused")
         return this.failRequest(progress, round.failure);
@@ -87,7 +87,7 @@
       if (caller.isCallerGone) return;
       const failure = failureOf(progress.verdict, round.why);
       if (!canRetry(progress)) return this.failRequest(progress, failure);
-      if (sends > 0 && !budgets.spend(caller.service))
+      if (sends > 0 && !budgets.tryRetry(caller.service))
         return this.failRequest(progress, failure);
     }
   }
@@ -157,7 +157,7 @@
     const { placement, replicas, domain, now } = this.options;
     const { caller, grantId } = progress;
     const { service } = caller;
-    const unavailable = replicas.signals.unavailable(service, now());
+    const unavailable = replicas.signals.unavailableIds(service, now());
     return new Promise((resolve, reject) => {
       const stopListening = caller.cancellation.onCancel(() => {
         placement.withdraw(service, grantId);
@@ -221,14 +221,14 @@
       this.calls.releaseHandle(caller.service, read.handle);
       return overdueResult(progress);
     }
-    if (caller.isOverdue) return overdueResult(progress);
+    if (caller.isPastDeadline) return overdueResult(progress);
     this.failures.logSendFailure(caller, reader, "read", read.why);
     return { kind: "failed", verdict: "not-run", why: read.why, avoid: reader };
   }
 
   private reportFirstEvent(progress: RequestProgress): void {
     const { caller, grantId } = progress;
-    caller.noteBegun();
+    caller.markBegun();
     progress.firstEventMs = this.options.now() - progress.runSentAt;
     if (!progress.runnerPrefills) return;
     const event = { kind: "begun" as const, id: grantId };
--- a/src/gateway/upstreamClient.ts
+++ b/src/gateway/upstreamClient.ts
@@ -1,6 +1,6 @@
 /**
- * Sends to replicas over kept connections by Node's `http`, and says what is
- * proved when a send fails.
+ * HTTP client for replicas with keep-alive connections, on Node's `http`. For
+ * a failed send it reports whether the request may have run.
  */
 import http from "node:http";
 import net from "node:net";
@@ -10,41 +10,43 @@
 import type { Cancellation } from "../shared/cancellation.js";
 import type { Verdict } from "../shared/verdict.js";
 
-/** A connection that is not up by then counts as failed, ms. */
-const CONNECT_MS = 400;
-/** Idle connections are closed after this, ms; replicas keep them longer. */
-const IDLE_MS = 5000;
-/** Part of a replica's own idle time for which a connection is reused. */
-const IDLE_PART = 0.6;
+/** Timeout for establishing a connection, ms. */
+const CONNECT_TIMEOUT_MS = 400;
+/** Timeout of idle connections, ms; replicas keep them longer. */
+const IDLE_TIMEOUT_MS = 5000;
+/** Fraction of a replica's idle timeout during which a connection is reused. */
+const IDLE_FRACTION = 0.6;
 const REFUSED_CODE = "ECONNREFUSED";
 const KEEP_ALIVE_HINT = /timeout=(\d+)/;
 const MAX_IDLE_SOCKETS = 128;
 
 /** One request to a replica. */
 export interface UpstreamRequest {
-  /** Connections are kept and bounded by service. */
+  /** Connections are pooled and limited per service. */
   service: string;
   address: string;
   method: string;
   target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: readonly string[];
   body: Buffer;
   cancellation: Cancellation;
   /**
-   * Asked when the request is about to leave, which may be long after the
-   * send where it waits for a connection; a reason keeps it from leaving.
+   * Called just before the request is written, which may be long after the
+   * call to `send` if it waits for a connection. If it returns a reason, the
+   * request is not sent.
    */
   refusal?: () => string | undefined;
 }
 
-/** The head of an answer, and its body as it comes. */
+/** The head of a response, and its body as a stream. */
 export interface UpstreamReply {
   kind: "reply";
   res: http.IncomingMessage;
   /**
-   * Whether all of the body came. Node counts a body without a length as
-   * complete also where its connection was reset, so this is asked instead.
+   * Whether the body is complete. To be used instead of `res.complete`, since
+   * Node counts a body without a length as complete even if its connection was
+   * reset.
    */
   isWhole(): boolean;
 }
@@ -55,26 +57,26 @@
       kind: "failed";
       verdict: Verdict;
       why: string;
-      /** Nothing was sent: the replica wants nothing now. */
+      /** Nothing was sent: the replica accepts no requests now. */
       isUnavailable?: boolean;
-      /** Nobody listens at the address. */
+      /** The address refused the connection. */
       isRefused?: boolean;
     };
 
-/** What a look at an address found. */
-export type Listening = "listening" | "refused" | "unknown";
+/** Result of probing an address. */
+export type ProbeResult = "listening" | "refused" | "unknown";
 
-/** Reuses a connection only well within the time its replica keeps it. */
-class CautiousAgent extends http.Agent {
+/** Reuses a connection only well within its replica's idle timeout. */
+class KeepAliveAgent extends http.Agent {
   override keepSocketAlive(socket: Socket): boolean {
     const { _httpMessage: message } = socket as Socket & {
       _httpMessage?: { res?: http.IncomingMessage };
     };
     const hint = message?.res?.headers["keep-alive"] ?? "";
     const seconds = Number(KEEP_ALIVE_HINT.exec(String(hint))?.[1] ?? Infinity);
-    const idleMs = Math.min(IDLE_MS, seconds * 1000 * IDLE_PART);
+    const idleMs = Math.min(IDLE_TIMEOUT_MS, seconds * 1000 * IDLE_FRACTION);
     if (idleMs <= 0) return false;
-    socket.setKeepAlive(true, IDLE_MS);
+    socket.setKeepAlive(true, IDLE_TIMEOUT_MS);
     socket.unref();
     socket.setTimeout(idleMs);
     return true;
@@ -82,13 +84,13 @@
 }
 
 export class UpstreamClient {
-  /** Connections, by service. */
+  /** Connection pools, by service. */
   private readonly agents = new Map<string, http.Agent>();
 
-  /** Resolves with the head of the answer, or with what is known instead. */
-  send(order: UpstreamRequest): Promise<SendOutcome> {
+  /** Resolves with the response head, or with what is known of the failure. */
+  send(request: UpstreamRequest): Promise<SendOutcome> {
     return new Promise((resolve) => {
-      const { host, port } = splitAddress(order.address);
+      const { host, port } = splitAddress(request.address);
       const isUnavailable = true;
       let isConnected = false;
       let timer: NodeJS.Timeout | undefined;
@@ -100,25 +102,25 @@
       const req = http.request({
         host,
         port,
-        method: order.method,
-        path: order.target,
-        headers: order.headers as unknown as http.OutgoingHttpHeaders,
+        method: request.method,
+        path: request.target,
+        headers: request.headers as unknown as http.OutgoingHttpHeaders,
         setHost: false,
-        agent: this.agent(order.service),
+        agent: this.agent(request.service),
       });
-      const off = order.cancellation.onCancel(() => {
-        // A reset, not an end: bytes that wait on the way are dropped, so
-        // that a peer that was cut off or stood still does not get them.
+      const stopListening = request.cancellation.onCancel(() => {
+        // A reset instead of a regular close drops the bytes in transit, so
+        // that a peer that was unreachable or stalled does not get them.
         if (isConnected) req.socket?.resetAndDestroy();
         req.destroy(new Error("cancelled"));
-        // Without a connection yet, Node tells nothing until there is one.
+        // Before the connection is up, Node emits no error until it is.
         if (!isConnected) fail("cancelled");
       });
-      req.once("close", off);
+      req.once("close", stopListening);
       // The head is written after these listeners have run.
       const onConnected = () => {
         clearTimeout(timer);
-        const why = order.refusal?.();
+        const why = request.refusal?.();
         if (why !== undefined) {
           resolve({ kind: "failed", verdict: "not-run", why, isUnavailable });
           return void req.destroy();
@@ -130,7 +132,7 @@
         if (!socket.connecting) return onConnected();
         socket.once("connect", onConnected);
         const giveUp = () => req.destroy(new Error("no connection in time"));
-        timer = setTimeout(giveUp, CONNECT_MS);
+        timer = setTimeout(giveUp, CONNECT_TIMEOUT_MS);
       });
       let hasFailed = false;
       req.once("response", (res) => {
@@ -142,20 +144,20 @@
         hasFailed = true;
         fail(err.message, err.code === REFUSED_CODE);
       });
-      req.end(order.body);
+      req.end(request.body);
     });
   }
 
-  /** Whether anybody listens there, by a connection that is closed at once. */
-  probe(address: string): Promise<Listening> {
+  /** Tests whether an address accepts connections; closes it at once. */
+  probe(address: string): Promise<ProbeResult> {
     const { host, port } = splitAddress(address);
     return new Promise((resolve) => {
       const socket = net.connect({ host, port: Number(port) });
-      const end = (found: Listening) => {
+      const end = (found: ProbeResult) => {
         socket.destroy();
         resolve(found);
       };
-      socket.setTimeout(CONNECT_MS, () => end("unknown"));
+      socket.setTimeout(CONNECT_TIMEOUT_MS, () => end("unknown"));
       socket.once("connect", () => end("listening"));
       socket.once("error", (err: NodeJS.ErrnoException) =>
         end(err.code === REFUSED_CODE ? "refused" : "unknown"),
@@ -163,9 +165,9 @@
     });
   }
 
-  /** Bounds the connections to each replica of a service. */
-  limitConnections(service: string, most: number): void {
-    this.agent(service).maxSockets = most;
+  /** Limits the connections to each replica of a service. */
+  limitConnections(service: string, maxSockets: number): void {
+    this.agent(service).maxSockets = maxSockets;
   }
 
   close(): void {
@@ -175,7 +177,7 @@
   private agent(service: string): http.Agent {
     const known = this.agents.get(service);
     if (known !== undefined) return known;
-    const fresh = new CautiousAgent({
+    const fresh = new KeepAliveAgent({
       keepAlive: true,
       maxFreeSockets: MAX_IDLE_SOCKETS,
       scheduling: "lifo",
@@ -186,9 +188,9 @@
 }
 
 /**
- * Libuv reports a reset that follows close behind data as a regular end. For
- * a body that ends with its connection this matters: the peer's address is
- * gone after a reset, and still there after a regular end.
+ * Detects a reset at the end of a body that is delimited by the end of its
+ * connection. Libuv reports a reset that closely follows data as a regular end,
+ * but after a reset the socket has no peer address any more.
  */
 const onResetAtEnd = (res: http.IncomingMessage, onReset: () => void): void => {
   const { headers, socket } = res;
@@ -202,7 +204,7 @@
 export type WholeBody =
   { kind: "whole"; body: Buffer } | { kind: "cut"; why: string };
 
-/** Reads an answer to its end; a cut or oversized one is told as such. */
+/** Reads a whole response body; `cut` if it was truncated or is too large. */
 export const readWholeBody = (
   { res, isWhole }: UpstreamReply,
   maxBytes: number,
