--- a/bench/player/fleet.ts
+++ b/bench/player/fleet.ts
@@ -8,7 +8,7 @@
   StageDemand,
 } from "../../src/scheduling/index.js";
 import type {
-  Settled,
+  QueuedAnswer,
   Stage,
   StageChange,
 } from "../../src/scheduling/index.js";
@@ -55,7 +55,7 @@
     private readonly load: Load,
     private readonly clock: VirtualClock,
     /** Gets the answers of requests that waited. */
-    private readonly onSettled: (settled: Settled) => void,
+    private readonly onSettled: (settled: QueuedAnswer) => void,
   ) {
     const { count, prefillShare, slowness } = load.engines;
     const readers = Math.max(1, Math.round(count * prefillShare));
@@ -104,7 +104,7 @@
   }
 
   private settle(): void {
-    for (const settled of this.scheduler.settle(this.clock.now)) {
+    for (const settled of this.scheduler.answerQueued(this.clock.now)) {
       this.onSettled(settled);
     }
   }
@@ -114,7 +114,7 @@
     const { now } = clock;
     scheduler.expire(now);
     this.compareRuns();
-    demand.measure(scheduler.asked, scheduler.engineStates(), now);
+    demand.measure(scheduler.demandTotals, scheduler.engineStates(), now);
     for (let orders = 0; orders < ORDERS_AT_ONCE; orders += 1) {
       const change = this.plan(now);
       if (change === undefined) break;
@@ -143,12 +143,12 @@
         runTokens: engine.runTokens,
         changingTo: this.changing.get(engine.view.id),
       })),
-      readDemand: demand.read,
-      restDemand: demand.rest,
+      prefillDemand: demand.prefillEngines,
+      decodePrefillDemand: demand.decodePrefillEngines,
       peakRuns: demand.peakRuns,
       peakRunTokens: demand.peakRunTokens,
-      sinceToPrefillMs: now - this.changedAt.prefill,
-      sinceToDecodeMs: now - this.changedAt.decode,
+      sinceChangeToPrefillMs: now - this.changedAt.prefill,
+      sinceChangeToDecodeMs: now - this.changedAt.decode,
     });
   }
 
@@ -158,7 +158,7 @@
     this.changes += 1;
     this.changing.set(id, to);
     this.changedAt[to] = this.clock.now;
-    this.scheduler.close(id, Infinity);
+    this.scheduler.suspendEngine(id, Infinity);
     engine.changingTo = to;
     this.finishChange(engine, to);
   }
@@ -180,7 +180,7 @@
     engine.changingTo = undefined;
     this.clock.after(NEWS_MS, () => {
       this.changing.delete(engine.id);
-      this.scheduler.close(engine.id, 0);
+      this.scheduler.suspendEngine(engine.id, 0);
       this.list();
     });
   }
--- a/bench/player/play.ts
+++ b/bench/player/play.ts
@@ -5,7 +5,7 @@
 import type {
   Grant,
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementEvent,
   StreamResult,
 } from "../../src/scheduling/index.js";
@@ -109,7 +109,13 @@
     });
   }
 
-  private askOf({ drawn, id, begunAt, arrivedAt, ...one }: Try): PlacementAsk {
+  private askOf({
+    drawn,
+    id,
+    begunAt,
+    arrivedAt,
+    ...one
+  }: Try): PlacementRequest {
     const { kind, parts, promptTokens, guessedEvents } = drawn;
     const { now } = this.clock;
     const deadlineMs = begunAt + kind.deadlineMs - now;
--- a/src/gateway/journey.ts
+++ b/src/gateway/journey.ts
@@ -1,5 +1,5 @@
 /** What one request to model engines carries from round to round. */
-import type { PlacementAsk } from "../scheduling/index.js";
+import type { PlacementRequest } from "../scheduling/index.js";
 import type { RequestFailure } from "../shared/errors.js";
 import type { Verdict } from "../shared/verdict.js";
 import { worseVerdict } from "../shared/verdict.js";
@@ -90,7 +90,7 @@
   journey: Journey,
   domain: string,
   unavailable: string[],
-): PlacementAsk => {
+): PlacementRequest => {
   const { caller, avoid, grantId } = journey;
   const { prompt } = caller.head;
   const elapsedMs = caller.elapsedMs();
--- a/src/gateway/stageKeeper.ts
+++ b/src/gateway/stageKeeper.ts
@@ -69,7 +69,11 @@
 
   async step(): Promise<void> {
     const { now, scheduler } = this.options;
-    this.demand.measure(scheduler.asked, scheduler.engineStates(), now());
+    this.demand.measure(
+      scheduler.demandTotals,
+      scheduler.engineStates(),
+      now(),
+    );
     this.settleChanges(now());
     const mayOrder = this.guard.fence(now()) !== undefined;
     if (!mayOrder || now() < this.refusedUntil) return;
@@ -89,7 +93,7 @@
     const since = now();
     this.changing.set(id, { to, since });
     this.lastChange[to] = since;
-    scheduler.close(id, since + CHANGE_LOST_MS);
+    scheduler.suspendEngine(id, since + CHANGE_LOST_MS);
   }
 
   /** Forgets changes that have shown in the list, or never will. */
@@ -101,7 +105,7 @@
       const isLost = now - since > CHANGE_LOST_MS;
       if (replica !== undefined && !isDone && !isLost) continue;
       this.changing.delete(id);
-      scheduler.close(id, 0);
+      scheduler.suspendEngine(id, 0);
       log.info("change of stage ended", {
         replica: id,
         to,
@@ -130,12 +134,12 @@
         runTokens: engine.runTokens,
         changingTo: this.changing.get(engine.view.id)?.to,
       })),
-      readDemand: demand.read,
-      restDemand: demand.rest,
+      prefillDemand: demand.prefillEngines,
+      decodePrefillDemand: demand.decodePrefillEngines,
       peakRuns: demand.peakRuns,
       peakRunTokens: demand.peakRunTokens,
-      sinceToPrefillMs: now - this.lastChange.prefill,
-      sinceToDecodeMs: now - this.lastChange.decode,
+      sinceChangeToPrefillMs: now - this.lastChange.prefill,
+      sinceChangeToDecodeMs: now - this.lastChange.decode,
     });
   }
 
@@ -156,7 +160,7 @@
     });
     if (outcome.kind !== "refused") return;
     this.changing.delete(id);
-    scheduler.close(id, 0);
+    scheduler.suspendEngine(id, 0);
     this.refusedUntil = now() + REFUSED_PAUSE_MS;
   }
 
--- a/src/placement/leaseKeeper.ts
+++ b/src/placement/leaseKeeper.ts
@@ -15,7 +15,7 @@
 import type { LeaseState } from "../control/leaseState.js";
 import { ABSENT, fromPosition } from "../store/index.js";
 import type { FeedItem, ObjectFeed } from "../store/index.js";
-import type { ReadCost } from "../scheduling/index.js";
+import type { PrefillCost } from "../scheduling/index.js";
 import type { Log } from "../telemetry/index.js";
 
 /** Object kind of leases; named by their service. */
@@ -57,9 +57,9 @@
   /** The same for a lease that nobody has held before, ms. */
   firstPatienceMs: number;
   /** What this process has learnt of its engines' pace. */
-  pace(): ReadCost | undefined;
+  pace(): PrefillCost | undefined;
   /** What the last holder had learnt was read; also an own earlier life. */
-  onPace(cost: ReadCost): void;
+  onPace(cost: PrefillCost): void;
   log: Log;
   /** For how long others left the lease alone: no suspension counts. */
   now: () => number;
--- a/src/placement/localPlacement.ts
+++ b/src/placement/localPlacement.ts
@@ -5,7 +5,7 @@
   Grant,
   HeldPart,
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementEvent,
   Queued,
 } from "../scheduling/index.js";
@@ -42,7 +42,7 @@
 
   constructor(private readonly options: LocalPlacementOptions) {}
 
-  place(ask: PlacementAsk): Promise<PlacementAnswer> {
+  place(ask: PlacementRequest): Promise<PlacementAnswer> {
     return new Promise((resolve) => {
       const answer = this.placeNow(ask, resolve);
       if (answer.kind !== "queued") resolve(answer);
@@ -50,7 +50,10 @@
   }
 
   /** The same without waiting; `onAnswer` is called where it is queued. */
-  placeNow(ask: PlacementAsk, onAnswer: OnAnswer): PlacementAnswer | Queued {
+  placeNow(
+    ask: PlacementRequest,
+    onAnswer: OnAnswer,
+  ): PlacementAnswer | Queued {
     const scheduler = this.refresh(ask.service);
     const answer = scheduler.place(ask, this.options.now());
     if (answer.kind === "queued") {
@@ -64,14 +67,14 @@
    * Takes over a grant that another scheduler has given; `isRead`: an engine
    * has read its prompt.
    */
-  adopt(ask: PlacementAsk, grant: Grant, isRead = false): void {
+  adopt(ask: PlacementRequest, grant: Grant, isRead = false): void {
     const scheduler = this.refresh(ask.service);
-    scheduler.adopt(ask, grant, isRead, this.options.now());
+    scheduler.adoptGrant(ask, grant, isRead, this.options.now());
   }
 
   /** An engine says that it holds these parts. */
   learnCache(service: string, engine: string, held: readonly HeldPart[]): void {
-    this.refresh(service).learnCache(engine, held);
+    this.refresh(service).recordCachedParts(engine, held);
   }
 
   note(service: string, event: PlacementEvent): void {
@@ -125,7 +128,7 @@
   }
 
   private settle(scheduler: EngineScheduler): void {
-    for (const { id, answer } of scheduler.settle(this.options.now())) {
+    for (const { id, answer } of scheduler.answerQueued(this.options.now())) {
       const onAnswer = this.queued.get(id);
       this.queued.delete(id);
       onAnswer?.(answer);
--- a/src/placement/messages.ts
+++ b/src/placement/messages.ts
@@ -8,10 +8,10 @@
 } from "../gen/snowgate.js";
 import type {
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementEvent,
   Queued,
-  ReadCost,
+  PrefillCost,
   StreamResult,
 } from "../scheduling/index.js";
 import { REFUSAL_CAUSES } from "../scheduling/index.js";
@@ -34,7 +34,7 @@
 const signedMs = (value: number): number =>
   between(-MOST_INT32, value, MOST_INT32);
 
-export const toPlaceAsk = (ask: PlacementAsk): PlaceAsk => ({
+export const toPlaceAsk = (ask: PlacementRequest): PlaceAsk => ({
   id: ask.id,
   route: ask.route,
   domain: ask.domain,
@@ -52,7 +52,10 @@
   mostOutputTokens: whole(ask.mostOutputTokens),
 });
 
-export const fromPlaceAsk = (service: string, ask: PlaceAsk): PlacementAsk => ({
+export const fromPlaceAsk = (
+  service: string,
+  ask: PlaceAsk,
+): PlacementRequest => ({
   ...ask,
   service,
   // Older versions leave this unset, so fall back to the first-event deadline.
@@ -99,7 +102,7 @@
   /** Place of the standby that is told, among those that take over. */
   standbyRank: number;
   /** What it has learnt of reading; undefined where nothing is new. */
-  readPace: ReadCost | undefined;
+  readPace: PrefillCost | undefined;
   /** Its lease as it wrote it last; zeros where it has none. */
   leaseEpoch: number;
   leaseBeat: number;
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -12,7 +12,7 @@
 import type {
   Grant,
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementEvent,
 } from "../scheduling/index.js";
 import type { PermitAnswer, RateNews } from "../rateLimits/index.js";
@@ -137,7 +137,7 @@
   }
 
   /** The holder's answer; undefined if it can't be had. */
-  ask(ask: PlacementAsk): Promise<PlacementAnswer | undefined> {
+  ask(ask: PlacementRequest): Promise<PlacementAnswer | undefined> {
     if (this.isLost || !this.isReady) return Promise.resolve(undefined);
     return new Promise((resolve) => {
       // After a stall of this process the answer may be there, unread: the
@@ -170,7 +170,7 @@
   }
 
   /** Tells the holder of a grant that is in use already. */
-  tellHeld(ask: PlacementAsk, grant: Grant, isRead: boolean): void {
+  tellHeld(ask: PlacementRequest, grant: Grant, isRead: boolean): void {
     const { reader = "", runner } = grant;
     this.send({ held: { ask: toPlaceAsk(ask), reader, runner, isRead } });
   }
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -9,7 +9,7 @@
   Grant,
   PlacementAnswer,
   Queued,
-  ReadCost,
+  PrefillCost,
 } from "../scheduling/index.js";
 import { RateNewsFilter } from "../rateLimits/index.js";
 import type { PermitAnswer, RateNews } from "../rateLimits/index.js";
@@ -95,7 +95,10 @@
    */
   private readonly open = new Map<PlaceStream, Set<string>>();
   /** What each stream was told of reading last. */
-  private readonly toldPace = new WeakMap<PlaceStream, ReadCost | undefined>();
+  private readonly toldPace = new WeakMap<
+    PlaceStream,
+    PrefillCost | undefined
+  >();
   /** What each stream was told of the rates of replicas. */
   private readonly toldRates = new WeakMap<PlaceStream, RateNewsFilter>();
 
@@ -334,8 +337,12 @@
   }
 
   /** What was learnt of reading since that stream was told. */
-  private paceNews(service: string, stream: PlaceStream): ReadCost | undefined {
-    const { known } = this.options.placement.scheduler(service).pace;
+  private paceNews(
+    service: string,
+    stream: PlaceStream,
+  ): PrefillCost | undefined {
+    const { learnedCost: known } =
+      this.options.placement.scheduler(service).prefillModel;
     if (known === this.toldPace.get(stream)) return undefined;
     this.toldPace.set(stream, known);
     return known;
--- a/src/placement/sharedPlacement.ts
+++ b/src/placement/sharedPlacement.ts
@@ -6,9 +6,9 @@
 import type {
   Grant,
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementEvent,
-  ReadCost,
+  PrefillCost,
 } from "../scheduling/index.js";
 import type { RateLimits } from "../rateLimits/index.js";
 import type { ObjectFeed } from "../store/index.js";
@@ -76,7 +76,7 @@
 }
 
 interface InUse {
-  ask: PlacementAsk;
+  ask: PlacementRequest;
   grant: Grant;
   /** An engine has read its prompt. */
   isRead: boolean;
@@ -93,7 +93,7 @@
     this.permits = new RatePermits({ ...options, links: this.links });
   }
 
-  async place(ask: PlacementAsk): Promise<PlacementAnswer> {
+  async place(ask: PlacementRequest): Promise<PlacementAnswer> {
     const { local, now } = this.options;
     const client = this.links.get(ask.service)?.client;
     const waiting = client?.waitingCount ?? 0;
@@ -233,7 +233,7 @@
       leaseMs,
       patienceMs,
       firstPatienceMs: Math.max(patienceMs, firstPatienceMs(capacity)),
-      pace: () => local.scheduler(service).pace.known,
+      pace: () => local.scheduler(service).prefillModel.learnedCost,
       onPace: (cost) => this.restorePace(service, cost),
       log,
       now,
@@ -287,11 +287,14 @@
   }
 
   /** What another process has learnt of the engines' pace. */
-  private restorePace(service: string, cost: ReadCost): void {
-    this.options.local.scheduler(service).pace.restore(cost);
+  private restorePace(service: string, cost: PrefillCost): void {
+    this.options.local.scheduler(service).prefillModel.restoreCost(cost);
   }
 
-  private used(ask: PlacementAsk, answer: PlacementAnswer): PlacementAnswer {
+  private used(
+    ask: PlacementRequest,
+    answer: PlacementAnswer,
+  ): PlacementAnswer {
     if (answer.kind === "granted") {
       this.inUse.set(ask.id, { ask, grant: answer, isRead: false });
     }
--- a/src/scheduling/answerLengths.ts
+++ b/src/scheduling/answerLengths.ts
@@ -4,21 +4,21 @@
  */
 import { quantile } from "simple-statistics";
 
-const KEPT_ANSWERS = 120;
-const LEAST_ANSWERS = 12;
+const MAX_ANSWERS = 120;
+const MIN_ANSWERS = 12;
 /** Answers between two fits. */
 const REFIT_INTERVAL = 12;
 /** Shorter answers are too noisy to estimate tokens per event. */
-const LEAST_EVENTS = 4;
+const MIN_EVENTS = 4;
 /** Quantile of length over estimate that the steepness is fitted to. */
 const UPPER_QUANTILE = 0.9;
 /** Steepness before the first fit. */
 const DEFAULT_STEEPNESS = 4;
-const LEAST_STEEPNESS = 1.5;
-const MOST_STEEPNESS = 20;
+const MIN_STEEPNESS = 1.5;
+const MAX_STEEPNESS = 20;
 
 interface Answer {
-  guessedTokens: number;
+  estimatedTokens: number;
   events: number;
 }
 
@@ -33,15 +33,17 @@
    */
   steepness = DEFAULT_STEEPNESS;
 
-  observe(guessedTokens: number, events: number): void {
-    if (guessedTokens <= 0 || events < LEAST_EVENTS) return;
-    this.answers.push({ guessedTokens, events });
-    if (this.answers.length > KEPT_ANSWERS) this.answers.shift();
+  observe(estimatedTokens: number, events: number): void {
+    if (estimatedTokens <= 0 || events < MIN_EVENTS) return;
+    this.answers.push({ estimatedTokens, events });
+    if (this.answers.length > MAX_ANSWERS) this.answers.shift();
     this.sinceFit += 1;
-    if (this.answers.length < LEAST_ANSWERS) return;
+    if (this.answers.length < MIN_ANSWERS) return;
     if (this.sinceFit < REFIT_INTERVAL) return;
     this.sinceFit = 0;
-    const ratios = this.answers.map((item) => item.guessedTokens / item.events);
+    const ratios = this.answers.map(
+      (item) => item.estimatedTokens / item.events,
+    );
     // Assumes that the median estimate is accurate.
     this.tokensPerEvent = quantile(ratios, 0.5);
     const lowestRatio = quantile(ratios, 1 - UPPER_QUANTILE);
@@ -49,8 +51,8 @@
     const steepness =
       Math.log(odds) / Math.log(this.tokensPerEvent / lowestRatio);
     this.steepness = Math.min(
-      MOST_STEEPNESS,
-      Math.max(LEAST_STEEPNESS, steepness),
+      MAX_STEEPNESS,
+      Math.max(MIN_STEEPNESS, steepness),
     );
   }
 }
--- a/src/scheduling/schedulerLoad.ts
+++ b/src/scheduling/demandTotals.ts
@@ -1,9 +1,9 @@
 /** What has been asked of a service's engines, as sums that only grow. */
-export interface SchedulerLoad {
+export interface DemandTotals {
   /** Reading time of one prefill engine, refused requests included, ms. */
-  readMs: number;
+  prefillMs: number;
   /** Reading of short rests by engines that make tokens, ms. */
-  restMs: number;
+  decodePrefillMs: number;
   /**
    * Time that runs take a slot, ms, and a place in memory, token x ms, as far
    * as their lengths tell. Runs that are there now tell of it only when the
@@ -13,9 +13,9 @@
   runTokenMs: number;
 }
 
-export const NO_LOAD: Readonly<SchedulerLoad> = {
-  readMs: 0,
-  restMs: 0,
+export const NO_DEMAND: Readonly<DemandTotals> = {
+  prefillMs: 0,
+  decodePrefillMs: 0,
   runMs: 0,
   runTokenMs: 0,
 };
--- a/src/scheduling/enginePool.ts
+++ b/src/scheduling/enginePool.ts
@@ -1,12 +1,12 @@
 /** The engines of one service as the scheduler sees them. Pure. */
 import { EngineState } from "./engineState.js";
 import type { EnginePermits } from "../rateLimits/index.js";
-import type { ReadPace } from "./readPace.js";
-import type { TokenPace } from "./tokenPace.js";
-import type { EngineView, PlacementAsk } from "./types.js";
+import type { PrefillTimeModel } from "./prefillTimeModel.js";
+import type { TokenTimeModel } from "./tokenTimeModel.js";
+import type { EngineView, PlacementRequest } from "./types.js";
 
 /** An engine that denied its stage gets no work until the list says more, ms. */
-const STAGE_DOUBT_MS = 2500;
+const STAGE_MISMATCH_PAUSE_MS = 2500;
 
 export class EnginePool {
   private readonly engines = new Map<string, EngineState>();
@@ -14,8 +14,8 @@
   private views: readonly EngineView[] | undefined;
 
   constructor(
-    private readonly pace: ReadPace,
-    private readonly tokenPace: TokenPace,
+    private readonly prefillModel: PrefillTimeModel,
+    private readonly tokenModel: TokenTimeModel,
     private readonly permits: EnginePermits,
   ) {}
 
@@ -32,11 +32,11 @@
     }
     for (const view of views) {
       const known = this.engines.get(view.id);
-      if (known !== undefined) known.see(view);
+      if (known !== undefined) known.updateView(view);
       else
         this.engines.set(
           view.id,
-          new EngineState(view, this.pace, this.tokenPace),
+          new EngineState(view, this.prefillModel, this.tokenModel),
         );
     }
   }
@@ -50,26 +50,26 @@
   }
 
   /** Those that read prompts for others. */
-  readers(now: number): EngineState[] {
+  prefillEngines(now: number): EngineState[] {
     return this.all().filter(
-      (item) => item.view.stage === "prefill" && item.changesUntil <= now,
+      (item) => item.view.stage === "prefill" && item.suspendedUntil <= now,
     );
   }
 
   /** Closes an engine, which changes its stage, until an instant. */
-  close(id: string, until: number): void {
+  suspend(id: string, until: number): void {
     const engine = this.engines.get(id);
-    if (engine !== undefined) engine.changesUntil = until;
+    if (engine !== undefined) engine.suspendedUntil = until;
   }
 
   /** The engine does not do what the list says. */
-  doubt(id: string, now: number): void {
-    this.close(id, now + STAGE_DOUBT_MS);
+  suspendForStageMismatch(id: string, now: number): void {
+    this.suspend(id, now + STAGE_MISMATCH_PAUSE_MS);
   }
 
   /** Those of `fit` that take one more request now. */
-  open(ask: PlacementAsk, now: number): EngineState[] {
-    return this.fit(ask, now).filter(({ view }) =>
+  availableFor(request: PlacementRequest, now: number): EngineState[] {
+    return this.eligibleFor(request, now).filter(({ view }) =>
       this.permits.mayAcquire(view.id, now),
     );
   }
@@ -79,13 +79,16 @@
    * process never do. Those that failed lately are left out, but for a stage
    * that would have none: a failure is better than none of them.
    */
-  fit({ avoid, unavailable }: PlacementAsk, now: number): EngineState[] {
-    const able = this.all().filter(({ view, changesUntil }) => {
+  eligibleFor(
+    { avoid, unavailable }: PlacementRequest,
+    now: number,
+  ): EngineState[] {
+    const able = this.all().filter(({ view, suspendedUntil }) => {
       const isLeftOut =
         avoid.includes(view.id) || unavailable.includes(view.id);
-      return changesUntil <= now && !isLeftOut;
+      return suspendedUntil <= now && !isLeftOut;
     });
-    const fit = able.filter((item) => !item.isClosed(now));
+    const fit = able.filter((item) => !item.isBackingOff(now));
     const stages = new Set(fit.map((item) => item.view.stage));
     const lastResort = able.filter((item) => !stages.has(item.view.stage));
     return [...fit, ...lastResort];
--- a/src/scheduling/engineRuns.ts
+++ b/src/scheduling/engineRuns.ts
@@ -4,16 +4,16 @@
  */
 import { median } from "simple-statistics";
 
-import type { TokenPace } from "./tokenPace.js";
+import type { TokenTimeModel } from "./tokenTimeModel.js";
 
 /** Runs from which an engine is known to be slower, or quicker, than others. */
-const LEAST_RATIOS = 5;
-const KEPT_RATIOS = 15;
+const MIN_RATIOS = 5;
+const MAX_RATIOS = 15;
 
 /** Estimated length of an answer, and the time left to complete it. */
 export interface AnswerLength {
-  guessedTokens: number;
-  mostTokens: number;
+  estimatedTokens: number;
+  maxTokens: number;
   /** See `AnswerLengths`. */
   steepness: number;
   leftMs: number;
@@ -47,10 +47,10 @@
 }
 
 /** Probability that an answer misses its deadline at `tokenMs` per token. */
-const missChance = (length: AnswerLength, tokenMs: number): number => {
-  const { guessedTokens, mostTokens, steepness, leftMs } = length;
-  if (mostTokens * tokenMs <= leftMs) return 0;
-  const ratio = leftMs / (Math.max(1, guessedTokens) * tokenMs);
+const missProbability = (length: AnswerLength, tokenMs: number): number => {
+  const { estimatedTokens, maxTokens, steepness, leftMs } = length;
+  if (maxTokens * tokenMs <= leftMs) return 0;
+  const ratio = leftMs / (Math.max(1, estimatedTokens) * tokenMs);
   return 1 / (1 + ratio ** steepness);
 };
 
@@ -66,7 +66,7 @@
   constructor(
     private readonly slots: () => number,
     /** Shared by all engines of the service. */
-    private readonly pace: TokenPace,
+    private readonly model: TokenTimeModel,
   ) {}
 
   get count(): number {
@@ -97,47 +97,52 @@
   }
 
   /** Records the mean time per token of a run that ends now. */
-  measure(id: string, tokenMs: number, now: number): void {
+  recordTokenMs(id: string, tokenMs: number, now: number): void {
     const run = this.runs.get(id);
     if (run === undefined || now <= run.addedAt || !(tokenMs > 0)) return;
     this.integrate(now);
     const spanMs = now - run.addedAt;
     const runs = (this.sums.runMs - run.sums.runMs) / spanMs;
     const tokens = (this.sums.runTokenMs - run.sums.runTokenMs) / spanMs;
-    const load = { fill: runs / this.slots(), tokens };
-    const expectedMs = this.pace.expectMs(load);
+    const load = { slotUsage: runs / this.slots(), tokens };
+    const expectedMs = this.model.estimateMs(load);
     if (expectedMs !== undefined) {
       this.ratios.push(tokenMs / expectedMs);
-      if (this.ratios.length > KEPT_RATIOS) this.ratios.shift();
+      if (this.ratios.length > MAX_RATIOS) this.ratios.shift();
     }
-    this.pace.observe(load, tokenMs / this.factor);
+    this.model.observe(load, tokenMs / this.relativeTime);
   }
 
   /** Effect of adding a run; undefined while the pace is unknown. */
-  expectMisses(
+  estimateMisses(
     tokens: number,
     length: AnswerLength,
   ): ExpectedMisses | undefined {
-    const before = this.expectMs(this.count, this.tokens);
-    const after = this.expectMs(this.count + 1, this.tokens + tokens);
+    const before = this.estimateTokenMs(this.count, this.tokens);
+    const after = this.estimateTokenMs(this.count + 1, this.tokens + tokens);
     if (before === undefined || after === undefined) return undefined;
-    const own = missChance(length, after);
+    const own = missProbability(length, after);
     let others = 0;
     for (const run of this.runs.values()) {
-      others += missChance(run.length, after) - missChance(run.length, before);
+      others +=
+        missProbability(run.length, after) -
+        missProbability(run.length, before);
     }
     return { own, others };
   }
 
   /** Expected time per token, ms; undefined while the pace is unknown. */
-  private expectMs(runs: number, tokens: number): number | undefined {
-    const ms = this.pace.expectMs({ fill: runs / this.slots(), tokens });
-    return ms === undefined ? undefined : ms * this.factor;
+  private estimateTokenMs(runs: number, tokens: number): number | undefined {
+    const ms = this.model.estimateMs({
+      slotUsage: runs / this.slots(),
+      tokens,
+    });
+    return ms === undefined ? undefined : ms * this.relativeTime;
   }
 
   /** Time per token relative to the service's other engines. */
-  private get factor(): number {
-    return this.ratios.length < LEAST_RATIOS ? 1 : median(this.ratios);
+  private get relativeTime(): number {
+    return this.ratios.length < MIN_RATIOS ? 1 : median(this.ratios);
   }
 
   private integrate(now: number): void {
--- a/src/scheduling/index.ts
+++ b/src/scheduling/index.ts
@@ -1,7 +1,7 @@
 export { EngineScheduler } from "./scheduler.js";
-export type { Settled } from "./scheduler.js";
-export type { SchedulerLoad } from "./schedulerLoad.js";
-export type { ReadCost } from "./readPace.js";
+export type { QueuedAnswer } from "./scheduler.js";
+export type { DemandTotals } from "./demandTotals.js";
+export type { PrefillCost } from "./prefillTimeModel.js";
 export { StageDemand } from "./stageDemand.js";
 export { planStages } from "./stagePlanner.js";
 export type { PlannedEngine, StageChange } from "./stagePlanner.js";
@@ -12,7 +12,7 @@
   Grant,
   HeldPart,
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementEvent,
   Queued,
   Refusal,
--- a/src/scheduling/limitedEngines.ts
+++ b/src/scheduling/permitCapacity.ts
@@ -8,20 +8,20 @@
  * Engines that may be given prompts all the time; a limited one counts as the
  * part of its time that the prompts it takes would fill.
  */
-export const readingEngines = (
+export const effectivePrefillEngines = (
   readers: readonly EngineState[],
   permits: EnginePermits,
-  meanReadMs: number,
+  meanPrefillMs: number,
   now: number,
 ): number =>
   readers.reduce((sum, { view }) => {
     const perS = permits.ratePerS(view.id, now);
     if (perS === Infinity) return sum + 1;
-    return sum + Math.min(1, (perS * meanReadMs) / MS_PER_SECOND);
+    return sum + Math.min(1, (perS * meanPrefillMs) / MS_PER_SECOND);
   }, 0);
 
 /** Between two requests to any of these, ms; 0 where one takes all. */
-export const permitGapMs = (
+export const permitIntervalMs = (
   engines: readonly EngineState[],
   permits: EnginePermits,
   now: number,
--- a/src/scheduling/placedRequests.ts
+++ b/src/scheduling/placedRequests.ts
@@ -7,37 +7,41 @@
 import { FadingSum } from "../shared/fadingSum.js";
 import { RunningMean } from "../shared/runningMean.js";
 import { AnswerLengths } from "./answerLengths.js";
-import { LONGEST_CLOSE_MS } from "./engineState.js";
+import { MAX_BACK_OFF_MS } from "./engineState.js";
 import type { AnswerLength } from "./engineRuns.js";
 import type { EngineState } from "./engineState.js";
 import type { KeyedPart } from "./promptCache.js";
-import { RunPace } from "./runPace.js";
-import type { PlacementAsk, PlacementEvent, StreamResult } from "./types.js";
+import { RunTimeEstimator } from "./runTimeEstimator.js";
+import type {
+  PlacementRequest,
+  PlacementEvent,
+  StreamResult,
+} from "./types.js";
 
 const FIRST_EVENT_GAIN = 0.05;
 /** Time constant of the rate of runs that end, ms. */
-const RATE_MEMORY_MS = 1000;
+const RATE_TIME_CONSTANT_MS = 1000;
 
 /** Share of the remaining time that an answer is planned to take at most. */
 const DEADLINE_SHARE = 0.95;
 /** Shorter streams are too noisy to measure the pace. */
-const LEAST_MEASURED_EVENTS = 10;
+const MIN_MEASURED_EVENTS = 10;
 const MAX_ROUTES = 256;
 const DEFAULT_LENGTHS = new AnswerLengths();
 
 /** Where a request is. */
-export interface PlacedAt {
+export interface Assignment {
   /** Absent where the runner reads the prompt, or it was read before. */
   reader: EngineState | undefined;
   runner: EngineState;
   parts: readonly KeyedPart[];
 }
 
-interface Placed extends PlacedAt {
+interface Placed extends Assignment {
   grantedAt: number;
-  ask: PlacementAsk;
+  request: PlacementRequest;
   /** Instant after which its end will not be reported any more, ms. */
-  lostAt: number;
+  expiresAt: number;
 }
 
 /** Reports on one request. */
@@ -51,8 +55,8 @@
 export class PlacedRequests {
   private readonly placed = new Map<string, Placed>();
   private readonly firstEvent = new RunningMean(FIRST_EVENT_GAIN);
-  private readonly runEnds = new FadingSum(RATE_MEMORY_MS);
-  readonly runPace = new RunPace();
+  private readonly runEnds = new FadingSum(RATE_TIME_CONSTANT_MS);
+  readonly runTimes = new RunTimeEstimator();
   /** By route. */
   private readonly lengths = new LRUCache<string, AnswerLengths>({
     max: MAX_ROUTES,
@@ -62,7 +66,9 @@
    * `onUnserved` is called for each answer that ended before its caller had
    * received all of it, unless the engine failed.
    */
-  constructor(private readonly onUnserved: (ask: PlacementAsk) => void) {}
+  constructor(
+    private readonly onIncomplete: (request: PlacementRequest) => void,
+  ) {}
 
   /** From the send to a runner to the first event, ms. */
   get firstEventMs(): number {
@@ -79,22 +85,22 @@
   }
 
   /** It takes room at the runner from now on. */
-  add(ask: PlacementAsk, at: PlacedAt, now: number): void {
-    const { id, promptTokens, outputTokens, answerLeftMs } = ask;
+  add(request: PlacementRequest, at: Assignment, now: number): void {
+    const { id, promptTokens, outputTokens, answerLeftMs } = request;
     const tokens = promptTokens + outputTokens;
     const deadlineAt = now + answerLeftMs;
-    const length = this.lengthOf(ask);
+    const length = this.lengthOf(request);
     at.runner.runs.add(id, { tokens, deadlineAt, length }, now);
-    const lostAt = deadlineAt + LONGEST_CLOSE_MS;
-    this.placed.set(id, { ...at, grantedAt: now, ask, lostAt });
+    const lostAt = deadlineAt + MAX_BACK_OFF_MS;
+    this.placed.set(id, { ...at, grantedAt: now, request, expiresAt: lostAt });
   }
 
-  lengthOf(ask: PlacementAsk): AnswerLength {
-    const { outputTokens, mostOutputTokens, answerLeftMs, route } = ask;
+  lengthOf(request: PlacementRequest): AnswerLength {
+    const { outputTokens, mostOutputTokens, answerLeftMs, route } = request;
     const { steepness } = this.lengths.get(route) ?? DEFAULT_LENGTHS;
     return {
-      guessedTokens: outputTokens,
-      mostTokens: mostOutputTokens,
+      estimatedTokens: outputTokens,
+      maxTokens: mostOutputTokens,
       steepness,
       leftMs: answerLeftMs * DEADLINE_SHARE,
     };
@@ -104,33 +110,33 @@
    * `isMeasure`: the times of reads count, since nobody else places on these
    * engines.
    */
-  onEvent(event: RequestEvent, isMeasure: boolean, now: number): void {
+  onEvent(event: RequestEvent, mayMeasure: boolean, now: number): void {
     const placed = this.placed.get(event.id);
     if (placed === undefined) return;
     const { reader, runner, parts } = placed;
     switch (event.kind) {
       case "read":
-        reader?.endRead(event.id, event.ok && isMeasure, now);
-        if (event.ok) reader?.remember(parts);
-        else reader?.forget(parts);
-        reader?.judge(event.ok, now);
+        reader?.endPrefill(event.id, event.ok && mayMeasure, now);
+        if (event.ok) reader?.markCached(parts);
+        else reader?.dropPending(parts);
+        reader?.recordOutcome(event.ok, now);
         return;
       case "begun":
-        runner.endRead(event.id, false, now);
-        runner.remember(parts);
-        runner.judge(true, now);
+        runner.endPrefill(event.id, false, now);
+        runner.markCached(parts);
+        runner.recordOutcome(true, now);
         return;
       case "rejected":
-        return this.giveBack(event.id, placed, now);
+        return this.release(event.id, placed, now);
       case "ended":
-        this.end(event, placed, isMeasure, now);
+        this.end(event, placed, mayMeasure, now);
         return;
     }
   }
 
   /** Drops what was never reported on. */
   expire(now: number): void {
-    for (const [id, { lostAt }] of this.placed) {
+    for (const [id, { expiresAt: lostAt }] of this.placed) {
       if (now > lostAt) this.placed.delete(id);
     }
   }
@@ -139,13 +145,13 @@
    * An engine wanted no work: nothing was read or run there, and that says
    * nothing of its health or pace.
    */
-  private giveBack(id: string, placed: Placed, now: number): void {
+  private release(id: string, placed: Placed, now: number): void {
     const { reader, runner, parts } = placed;
     this.placed.delete(id);
-    reader?.endRead(id, false, now);
-    reader?.forget(parts);
-    runner.endRead(id, false, now);
-    runner.forget(parts);
+    reader?.endPrefill(id, false, now);
+    reader?.dropPending(parts);
+    runner.endPrefill(id, false, now);
+    runner.dropPending(parts);
     runner.runs.end(id, now);
   }
 
@@ -158,41 +164,41 @@
     const { reader, runner, parts } = placed;
     this.placed.delete(id);
     if (stream !== undefined) {
-      this.observeStream(id, placed, stream, isMeasure, now);
-      if (ok && stream.isCut) this.onUnserved(placed.ask);
+      this.recordStream(id, placed, stream, isMeasure, now);
+      if (ok && stream.isCut) this.onIncomplete(placed.request);
     }
-    reader?.endRead(id, false, now);
-    runner.endRead(id, false, now);
+    reader?.endPrefill(id, false, now);
+    runner.endPrefill(id, false, now);
     runner.runs.end(id, now);
     this.runEnds.add(1, now);
-    if (firstEventMs > 0) this.measureRun(placed, now);
+    if (firstEventMs > 0) this.recordRunTime(placed, now);
     if (firstEventMs > 0 && reader !== undefined) {
       this.firstEvent.add(firstEventMs);
     }
-    if (ok) runner.remember(parts);
-    runner.judge(ok, now);
+    if (ok) runner.markCached(parts);
+    runner.recordOutcome(ok, now);
   }
 
-  private observeStream(
+  private recordStream(
     id: string,
-    { ask, runner }: Placed,
+    { request, runner }: Placed,
     { events, tookMs }: StreamResult,
     isMeasure: boolean,
     now: number,
   ): void {
-    const { route, outputTokens } = ask;
+    const { route, outputTokens } = request;
     const lengths = this.lengths.get(route) ?? new AnswerLengths();
     this.lengths.set(route, lengths);
     lengths.observe(outputTokens, events);
     const { tokensPerEvent } = lengths;
     if (tokensPerEvent === undefined || !isMeasure) return;
-    if (events < LEAST_MEASURED_EVENTS) return;
+    if (events < MIN_MEASURED_EVENTS) return;
     const tokens = (events - 1) * tokensPerEvent;
-    runner.runs.measure(id, tookMs / tokens, now);
+    runner.runs.recordTokenMs(id, tookMs / tokens, now);
   }
 
-  private measureRun(placed: Placed, now: number): void {
-    const { grantedAt, ask } = placed;
-    this.runPace.observe(ask.outputTokens, now - grantedAt, now);
+  private recordRunTime(placed: Placed, now: number): void {
+    const { grantedAt, request } = placed;
+    this.runTimes.observe(request.outputTokens, now - grantedAt, now);
   }
 }
--- a/src/scheduling/readPlanner.ts
+++ b/src/scheduling/prefillPlanner.ts
@@ -3,18 +3,18 @@
  * engine it takes cached parts first. Pure.
  */
 import type { EngineState } from "./engineState.js";
-import type { Donor, PromptCache } from "./promptCache.js";
-import type { PlacementAsk } from "./types.js";
+import type { Donor, PromptCacheLookup } from "./promptCache.js";
+import type { PlacementRequest } from "./types.js";
 
 /** Weight of an engine's reading time as a cost to everybody else. */
-const READ_WEIGHT = 1;
+const PREFILL_WEIGHT = 1;
 /**
  * Longest read that a decode engine does besides its runs, ms: its streams
  * pause meanwhile, and pauses beyond some 150 ms make them late.
  */
-const DECODE_READ_MS = 60;
+const MAX_DECODE_PREFILL_MS = 60;
 /** Parts of fewer tokens are read again rather than moved. */
-const LEAST_DONATED_TOKENS = 512;
+const MIN_DONATED_TOKENS = 512;
 /**
  * Time to take cached parts from another engine, ms. Links carry a token in
  * a tenth of a microsecond, but moves wait for each other.
@@ -22,7 +22,7 @@
 const MOVE_MS = 1;
 const MOVE_MS_PER_TOKEN = 0.0004;
 
-export interface ReadPlan {
+export interface PrefillPlan {
   engine: EngineState;
   /** Tokens that it need not read: held, or taken from another engine. */
   cached: number;
@@ -37,20 +37,20 @@
  * The prefill engine that has read the prompt first and at least cost.
  * `meant`: reading that engines are to be given first, ms.
  */
-export const planRead = (
-  ask: PlacementAsk,
-  cache: PromptCache,
+export const planPrefill = (
+  request: PlacementRequest,
+  cache: PromptCacheLookup,
   open: readonly EngineState[],
   now: number,
-  meant: ReadonlyMap<EngineState, number> = new Map(),
-): ReadPlan | undefined => {
-  const donor = cache.donor(open);
-  let best: (ReadPlan & { score: number }) | undefined;
+  reserved: ReadonlyMap<EngineState, number> = new Map(),
+): PrefillPlan | undefined => {
+  const donor = cache.findDonor(open);
+  let best: (PrefillPlan & { score: number }) | undefined;
   for (const engine of open) {
     if (engine.view.stage !== "prefill") continue;
-    const plan = readAt(ask, cache, engine, donor, now);
-    plan.endMs += meant.get(engine) ?? 0;
-    const score = plan.endMs + plan.costMs * READ_WEIGHT;
+    const plan = planAt(request, cache, engine, donor, now);
+    plan.endMs += reserved.get(engine) ?? 0;
+    const score = plan.endMs + plan.costMs * PREFILL_WEIGHT;
     if (best === undefined || score < best.score) best = { ...plan, score };
   }
   return best;
@@ -60,38 +60,38 @@
  * The decode engine that is first to read the prompt itself by `limitMs`;
  * undefined if none is. `open`: those with room for the run.
  */
-export const planOwnRead = (
-  ask: PlacementAsk,
-  cache: PromptCache,
+export const planDecodePrefill = (
+  request: PlacementRequest,
+  cache: PromptCacheLookup,
   open: readonly EngineState[],
   all: readonly EngineState[],
   limitMs: number,
   now: number,
-): ReadPlan | undefined => {
-  const donor = cache.donor(all);
-  let best: ReadPlan | undefined;
+): PrefillPlan | undefined => {
+  const donor = cache.findDonor(all);
+  let best: PrefillPlan | undefined;
   for (const engine of open) {
-    if (engine.view.stage !== "decode" || engine.readCount > 0) continue;
-    const plan = readAt(ask, cache, engine, donor, now);
-    if (plan.costMs > DECODE_READ_MS || plan.endMs > limitMs) continue;
+    if (engine.view.stage !== "decode" || engine.prefillCount > 0) continue;
+    const plan = planAt(request, cache, engine, donor, now);
+    if (plan.costMs > MAX_DECODE_PREFILL_MS || plan.endMs > limitMs) continue;
     if (best === undefined || plan.endMs < best.endMs) best = plan;
   }
   return best;
 };
 
-const readAt = (
-  ask: PlacementAsk,
-  cache: PromptCache,
+const planAt = (
+  request: PlacementRequest,
+  cache: PromptCacheLookup,
   engine: EngineState,
   donor: Donor | undefined,
   now: number,
-): ReadPlan => {
-  const own = cache.at(engine);
+): PrefillPlan => {
+  const own = cache.cachedTokens(engine);
   const more = (donor?.cached ?? 0) - own;
-  const isWorth = donor !== undefined && more >= LEAST_DONATED_TOKENS;
+  const isWorth = donor !== undefined && more >= MIN_DONATED_TOKENS;
   const cached = isWorth ? donor.cached : own;
   const moveMs = isWorth ? MOVE_MS + more * MOVE_MS_PER_TOKEN : 0;
-  const costMs = engine.readCostMs(ask.promptTokens, cached) + moveMs;
+  const costMs = engine.prefillCostMs(request.promptTokens, cached) + moveMs;
   const endMs = engine.backlogMs(now) + costMs;
   return {
     engine,
--- a/src/scheduling/readPace.ts
+++ b/src/scheduling/prefillTimeModel.ts
@@ -11,7 +11,7 @@
 import { median } from "simple-statistics";
 
 /** What there is to read of one prompt, or of a few. */
-export interface ReadWork {
+export interface PrefillWork {
   prompts: number;
   /** Tokens that no cache holds. */
   tokens: number;
@@ -20,14 +20,14 @@
 }
 
 /** Time that reading takes, by part, ms. */
-export interface ReadCost {
+export interface PrefillCost {
   fixedMs: number;
   tokenMs: number;
   mPairMs: number;
 }
 
 interface Sample {
-  work: ReadWork;
+  work: PrefillWork;
   tookMs: number;
 }
 
@@ -36,140 +36,149 @@
  * was read. An objective leaves room for a wait and the first event, so a
  * half would be the slowest that makes sense.
  */
-const GUESSED_PART = 0.25;
+const GUESSED_SHARE = 0.25;
 /** Reads that are kept; older ones are forgotten. */
-const KEPT_SAMPLES = 160;
+const MAX_SAMPLES = 160;
 /** Reads from which all parts are learnt. */
-const LEAST_SAMPLES = 12;
+const MIN_SAMPLES = 12;
 /** What another process told weighs as much as so many own reads. */
-const TOLD_READS = 5;
+const RESTORED_WEIGHT = 5;
 /** The parts are learnt again after so many reads, … */
-const LEARN_EACH = 8;
+const REFIT_INTERVAL = 8;
 /**
  * … and after this part of those that are kept: each eighth of many reads
  * would cost a holder much of its processor time.
  */
-const LEARN_PART = 0.25;
+const REFIT_SHARE = 0.25;
 /** Reads that took less, or more, than usual by this are left out. */
 const OUTLIER_RATIO = 2.5;
 /** Fewer that are like each other say nothing of the parts. */
-const LEAST_LIKELY = 0.6;
+const MIN_INLIER_SHARE = 0.6;
 /** Pull of each part to what is expected, over that of the reads. */
-const PULL = 0.05;
-const LEAST_PULL = 1e-9;
-const UNKNOWN_COST: ReadCost = { fixedMs: 0, tokenMs: 1, mPairMs: 0 };
+const PRIOR_WEIGHT = 0.05;
+const MIN_COLUMN_NORM = 1e-9;
+const UNKNOWN_COST: PrefillCost = { fixedMs: 0, tokenMs: 1, mPairMs: 0 };
 /** Expected times below this are weighed as this, ms: hops blur them. */
-const LEAST_WEIGHED_MS = 5;
+const MIN_WEIGHTED_MS = 5;
 
 const PAIRS_PER_M = 1e6;
 
-export const workOf = (promptTokens: number, cached: number): ReadWork => {
+export const prefillWorkOf = (
+  promptTokens: number,
+  cached: number,
+): PrefillWork => {
   const tokens = Math.max(0, promptTokens - cached);
   const mPairs = (tokens * (cached + tokens / 2)) / PAIRS_PER_M;
   return { prompts: 1, tokens, mPairs };
 };
 
-export const addWork = (left: ReadWork, right: ReadWork): ReadWork => ({
+export const addWork = (
+  left: PrefillWork,
+  right: PrefillWork,
+): PrefillWork => ({
   prompts: left.prompts + right.prompts,
   tokens: left.tokens + right.tokens,
   mPairs: left.mPairs + right.mPairs,
 });
 
-const timeOf = (cost: ReadCost, work: ReadWork): number =>
+const timeMs = (cost: PrefillCost, work: PrefillWork): number =>
   cost.fixedMs * work.prompts +
   cost.tokenMs * work.tokens +
   cost.mPairMs * work.mPairs;
 
-const scaled = (cost: ReadCost, factor: number): ReadCost => ({
+const scaled = (cost: PrefillCost, factor: number): PrefillCost => ({
   fixedMs: cost.fixedMs * factor,
   tokenMs: cost.tokenMs * factor,
   mPairMs: cost.mPairMs * factor,
 });
 
-const isUsable = ({ fixedMs, tokenMs, mPairMs }: ReadCost): boolean =>
+const isUsable = ({ fixedMs, tokenMs, mPairMs }: PrefillCost): boolean =>
   [fixedMs, tokenMs, mPairMs].every((part) => part >= 0 && part < Infinity) &&
   tokenMs + mPairMs > 0;
 
-export class ReadPace {
+export class PrefillTimeModel {
   private samples: Sample[] = [];
   /** What reads are expected to take before enough of them were seen. */
-  private basis: ReadCost | undefined;
-  private learnt: ReadCost | undefined;
+  private prior: PrefillCost | undefined;
+  private learned: PrefillCost | undefined;
   /** How many reads the basis counts as: none where it is a guess. */
-  private basisReads = 0;
-  private sinceLearnt = 0;
+  private priorWeight = 0;
+  private sinceFit = 0;
 
   /** What is known; undefined while it is only guessed. */
-  get known(): ReadCost | undefined {
-    return this.learnt;
+  get learnedCost(): PrefillCost | undefined {
+    return this.learned;
   }
 
   /** Whether enough reads were seen to judge one engine by the others. */
-  get isSure(): boolean {
-    return this.samples.length >= LEAST_SAMPLES;
+  get isCalibrated(): boolean {
+    return this.samples.length >= MIN_SAMPLES;
   }
 
   /** A request shows what its route is meant to hold at the most. */
-  guess(objectiveMs: number, promptTokens: number): void {
-    if (this.learnt !== undefined || this.samples.length > 0) return;
+  estimateFromObjective(objectiveMs: number, promptTokens: number): void {
+    if (this.learned !== undefined || this.samples.length > 0) return;
     if (objectiveMs <= 0 || promptTokens <= 0) return;
-    const tokenMs = (objectiveMs * GUESSED_PART) / promptTokens;
-    if (this.basis !== undefined && this.basis.tokenMs <= tokenMs) return;
-    this.basis = { fixedMs: 0, tokenMs, mPairMs: 0 };
+    const tokenMs = (objectiveMs * GUESSED_SHARE) / promptTokens;
+    if (this.prior !== undefined && this.prior.tokenMs <= tokenMs) return;
+    this.prior = { fixedMs: 0, tokenMs, mPairMs: 0 };
   }
 
   /** What the process that places has learnt goes before own reads. */
-  restore(cost: ReadCost): void {
+  restoreCost(cost: PrefillCost): void {
     if (!isUsable(cost)) return;
-    this.basis = cost;
-    this.basisReads = TOLD_READS;
-    this.learnt = cost;
+    this.prior = cost;
+    this.priorWeight = RESTORED_WEIGHT;
+    this.learned = cost;
     this.samples = [];
   }
 
   /** Expected time of the work, ms. */
-  expectMs(work: ReadWork): number {
-    const cost = this.learnt ?? this.basis;
-    return cost === undefined ? 0 : timeOf(cost, work);
+  estimateMs(work: PrefillWork): number {
+    const cost = this.learned ?? this.prior;
+    return cost === undefined ? 0 : timeMs(cost, work);
   }
 
   /** Work that kept one engine busy took so long. */
-  observe(work: ReadWork, tookMs: number): void {
+  observe(work: PrefillWork, tookMs: number): void {
     if (!(tookMs > 0) || work.tokens <= 0) return;
     this.samples.push({ work, tookMs });
-    if (this.samples.length > KEPT_SAMPLES) this.samples.shift();
-    this.sinceLearnt += 1;
+    if (this.samples.length > MAX_SAMPLES) this.samples.shift();
+    this.sinceFit += 1;
     const kept = this.samples.length;
-    const isEarly = kept < LEAST_SAMPLES + LEARN_EACH;
-    const pause = Math.max(LEARN_EACH, kept * LEARN_PART);
-    if (!isEarly && this.sinceLearnt < pause) return;
-    this.sinceLearnt = 0;
-    this.learn();
+    const isEarly = kept < MIN_SAMPLES + REFIT_INTERVAL;
+    const pause = Math.max(REFIT_INTERVAL, kept * REFIT_SHARE);
+    if (!isEarly && this.sinceFit < pause) return;
+    this.sinceFit = 0;
+    this.refit();
   }
 
-  private learn(): void {
+  private refit(): void {
     const { samples } = this;
-    const expected = this.learnt ?? this.basis ?? UNKNOWN_COST;
+    const expected = this.learned ?? this.prior ?? UNKNOWN_COST;
     const ratios = samples.map(({ work, tookMs }) => {
-      return tookMs / timeOf(expected, work);
+      return tookMs / timeMs(expected, work);
     });
-    const isFew = samples.length < LEAST_SAMPLES;
-    const told = new Array<number>(isFew ? this.basisReads : 0).fill(1);
-    const middle = scaled(expected, median([...ratios, ...told]));
-    const likely = samples.filter((sample) => isLikely(sample, middle));
-    const isClear = likely.length >= samples.length * LEAST_LIKELY;
-    const isEnough = !isFew && isClear;
-    this.learnt = (isEnough ? fitted(likely, middle) : undefined) ?? middle;
+    const hasFewSamples = samples.length < MIN_SAMPLES;
+    const priorRatios = new Array<number>(
+      hasFewSamples ? this.priorWeight : 0,
+    ).fill(1);
+    const rescaled = scaled(expected, median([...ratios, ...priorRatios]));
+    const inliers = samples.filter((sample) => isInlier(sample, rescaled));
+    const isClear = inliers.length >= samples.length * MIN_INLIER_SHARE;
+    const isEnough = !hasFewSamples && isClear;
+    this.learned =
+      (isEnough ? fitCost(inliers, rescaled) : undefined) ?? rescaled;
   }
 }
 
-const isLikely = ({ work, tookMs }: Sample, expected: ReadCost): boolean => {
-  const ratio = tookMs / timeOf(expected, work);
+const isInlier = ({ work, tookMs }: Sample, expected: PrefillCost): boolean => {
+  const ratio = tookMs / timeMs(expected, work);
   return ratio < OUTLIER_RATIO && ratio > 1 / OUTLIER_RATIO;
 };
 
 /** What each part of the time takes of the work. */
-const partsOf = ({ prompts, tokens, mPairs }: ReadWork): number[] => [
+const termsOf = ({ prompts, tokens, mPairs }: PrefillWork): number[] => [
   prompts,
   tokens,
   mPairs,
@@ -180,22 +189,22 @@
  * alike don't tell the parts from each other: a weak pull to what is expected
  * keeps them apart. Undefined where the numbers don't settle.
  */
-const fitted = (
+const fitCost = (
   samples: readonly Sample[],
-  expected: ReadCost,
-): ReadCost | undefined => {
+  expected: PrefillCost,
+): PrefillCost | undefined => {
   const weights = samples.map(
-    ({ work }) => 1 / Math.max(LEAST_WEIGHED_MS, timeOf(expected, work)),
+    ({ work }) => 1 / Math.max(MIN_WEIGHTED_MS, timeMs(expected, work)),
   );
   const rows = samples.map(({ work }, at) =>
-    partsOf(work).map((part) => part * (weights[at] ?? 0)),
+    termsOf(work).map((part) => part * (weights[at] ?? 0)),
   );
   const times = samples.map(({ tookMs }, at) => tookMs * (weights[at] ?? 0));
-  const goals = [expected.fixedMs, expected.tokenMs, expected.mPairMs];
-  for (const [at, goal] of goals.entries()) {
+  const priorTerms = [expected.fixedMs, expected.tokenMs, expected.mPairMs];
+  for (const [at, goal] of priorTerms.entries()) {
     const size = Math.hypot(...rows.map((row) => row[at] ?? 0));
-    const pull = Math.max(size, LEAST_PULL) * PULL;
-    rows.push(goals.map((_, other) => (other === at ? pull : 0)));
+    const pull = Math.max(size, MIN_COLUMN_NORM) * PRIOR_WEIGHT;
+    rows.push(priorTerms.map((_, other) => (other === at ? pull : 0)));
     times.push(goal * pull);
   }
   try {
--- a/src/scheduling/promptCache.ts
+++ b/src/scheduling/promptCache.ts
@@ -1,9 +1,9 @@
 /**
  * How much of one prompt each engine's cache holds, looked up once an engine
- * and ask: a decision asks for it several times.
+ * and request: a decision asks for it several times.
  */
 import type { EngineState } from "./engineState.js";
-import type { CachePart, PlacementAsk } from "./types.js";
+import type { CachePart, PlacementRequest } from "./types.js";
 
 /** A part of a prompt under the key by which caches know it. */
 export interface KeyedPart {
@@ -22,16 +22,16 @@
   cached: number;
 }
 
-export class PromptCache {
+export class PromptCacheLookup {
   readonly parts: readonly KeyedPart[];
   private readonly known = new Map<EngineState, number>();
 
-  constructor(ask: Pick<PlacementAsk, "model" | "parts">) {
-    this.parts = ask.parts.map((part) => keyedPart(ask.model, part));
+  constructor(request: Pick<PlacementRequest, "model" | "parts">) {
+    this.parts = request.parts.map((part) => keyedPart(request.model, part));
   }
 
   /** Tokens at the start of the prompt that the engine holds. */
-  at(engine: EngineState): number {
+  cachedTokens(engine: EngineState): number {
     const known = this.known.get(engine);
     if (known !== undefined) return known;
     const cached = engine.cachedTokens(this.parts);
@@ -40,10 +40,10 @@
   }
 
   /** The engine among these that holds most; undefined if none holds any. */
-  donor(engines: readonly EngineState[]): Donor | undefined {
+  findDonor(engines: readonly EngineState[]): Donor | undefined {
     let best: Donor | undefined;
     for (const engine of engines) {
-      const cached = engine.heldTokens(this.parts);
+      const cached = engine.transferableTokens(this.parts);
       if (cached > (best?.cached ?? 0)) best = { engine, cached };
     }
     return best;
--- a/src/scheduling/refusals.ts
+++ b/src/scheduling/refusals.ts
@@ -1,5 +1,5 @@
 /** Why a request is refused, and when its caller may come back. Pure. */
-import type { PlacementAsk, Refusal, RefusalCause } from "./types.js";
+import type { PlacementRequest, Refusal, RefusalCause } from "./types.js";
 
 /**
  * Part of its time after which a refused caller is told to come back. What
@@ -7,14 +7,14 @@
  * twice is worse off; callers don't wait for longer than a third of their
  * time.
  */
-const RETRY_PART = 0.33;
-const LEAST_RETRY_MS = 200;
+const RETRY_SHARE = 0.33;
+const MIN_RETRY_MS = 200;
 /** A long answer needs the rest of its time: no pause is longer, ms. */
-const LONGEST_RETRY_MS = 1000;
+const MAX_RETRY_MS = 1000;
 
 /** `waitMs`: expected until it could begin, where engines are limited. */
 export const refuse = (
-  ask: PlacementAsk,
+  request: PlacementRequest,
   why: RefusalCause,
   waitMs = 0,
 ): Refusal => {
@@ -22,10 +22,10 @@
     return {
       kind: "refused",
       why,
-      retryAfterMs: Math.max(LEAST_RETRY_MS, waitMs),
+      retryAfterMs: Math.max(MIN_RETRY_MS, waitMs),
     };
   }
-  const pauseMs = Math.max(LEAST_RETRY_MS, ask.deadlineLeftMs * RETRY_PART);
-  const retryAfterMs = Math.min(LONGEST_RETRY_MS, pauseMs);
+  const delayMs = Math.max(MIN_RETRY_MS, request.deadlineLeftMs * RETRY_SHARE);
+  const retryAfterMs = Math.min(MAX_RETRY_MS, delayMs);
   return { kind: "refused", why, retryAfterMs };
 };
--- a/src/scheduling/runPlanner.ts
+++ b/src/scheduling/runPlanner.ts
@@ -1,7 +1,7 @@
 /** Which engine makes the tokens of a request. Pure. */
 import type { AnswerLength } from "./engineRuns.js";
 import type { EngineState } from "./engineState.js";
-import type { PlacementAsk } from "./types.js";
+import type { PlacementRequest } from "./types.js";
 
 /** Runs of at least this many tokens are packed. */
 const LONG_OUTPUT_TOKENS = 512;
@@ -13,7 +13,7 @@
 /** Cost of a certain deadline miss, in full engines. */
 const MISS_WEIGHT = 2;
 /** Engines in another failure domain count as this much busier, share of slots. */
-const OTHER_DOMAIN_COST = 0.02;
+const CROSS_DOMAIN_COST = 0.02;
 /** Share of the KV memory that running requests may take. */
 const RUN_MEMORY_SHARE = 0.92;
 /** Reading ahead of it counts as a full engine at this much, ms. */
@@ -21,9 +21,9 @@
 
 /** A run to be assigned to an engine. */
 export interface PlannedRun {
-  ask: PlacementAsk;
+  request: PlacementRequest;
   /** Number of schedulers that place on these engines independently. */
-  share: number;
+  schedulerCount: number;
   length: AnswerLength;
 }
 
@@ -37,7 +37,7 @@
 ): EngineState | undefined => {
   let best: { engine: EngineState; cost: number } | undefined;
   for (const engine of open) {
-    const load = loadWith(run.ask, engine, run.share);
+    const load = loadWith(run.request, engine, run.schedulerCount);
     if (load === undefined) continue;
     const cost = costOf(run, engine, load, now);
     if (best === undefined || cost < best.cost) best = { engine, cost };
@@ -53,38 +53,40 @@
   run: PlannedRun,
   open: readonly EngineState[],
 ): boolean => {
-  const { ask, share, length } = run;
-  if (ask.outputTokens < LONG_OUTPUT_TOKENS) return true;
-  const tokens = ask.promptTokens + ask.outputTokens;
-  const roomy = open.filter((engine) => hasRoom(ask, engine, share));
+  const { request, schedulerCount, length } = run;
+  if (request.outputTokens < LONG_OUTPUT_TOKENS) return true;
+  const tokens = request.promptTokens + request.outputTokens;
+  const withCapacity = open.filter((engine) =>
+    hasCapacity(request, engine, schedulerCount),
+  );
   return (
-    roomy.length === 0 ||
-    roomy.some((engine) => {
-      const misses = engine.runs.expectMisses(tokens, length);
+    withCapacity.length === 0 ||
+    withCapacity.some((engine) => {
+      const misses = engine.runs.estimateMisses(tokens, length);
       return misses === undefined || misses.own + misses.others <= 1;
     })
   );
 };
 
 /** Whether the engine makes tokens and has room for the run. */
-export const hasRoom = (
-  ask: PlacementAsk,
+export const hasCapacity = (
+  request: PlacementRequest,
   engine: EngineState,
-  share: number,
-): boolean => loadWith(ask, engine, share) !== undefined;
+  schedulerCount: number,
+): boolean => loadWith(request, engine, schedulerCount) !== undefined;
 
 /** Share of slots or memory in use with the run; undefined if too much. */
 const loadWith = (
-  ask: PlacementAsk,
+  request: PlacementRequest,
   engine: EngineState,
-  share: number,
+  schedulerCount: number,
 ): number | undefined => {
   const { slots, kvCapacityTokens, stage } = engine.view;
   if (stage !== "decode") return undefined;
-  const runs = engine.runCount * share;
+  const runs = engine.runCount * schedulerCount;
   if (runs + 1 > slots) return undefined;
-  const needed = ask.promptTokens + ask.outputTokens;
-  const tokens = engine.runTokens * share + needed;
+  const needed = request.promptTokens + request.outputTokens;
+  const tokens = engine.runTokens * schedulerCount + needed;
   const memory = tokens / (kvCapacityTokens * RUN_MEMORY_SHARE);
   if (memory > 1 && engine.runCount > 0) return undefined;
   return Math.max(runs / slots, memory);
@@ -97,16 +99,16 @@
  * is to miss its deadline there.
  */
 const costOf = (
-  { ask, length }: PlannedRun,
+  { request, length }: PlannedRun,
   engine: EngineState,
   load: number,
   now: number,
 ): number => {
-  const away = engine.view.domain === ask.domain ? 0 : OTHER_DOMAIN_COST;
+  const away = engine.view.domain === request.domain ? 0 : CROSS_DOMAIN_COST;
   const reading = engine.backlogMs(now) / FULL_BACKLOG_MS;
-  if (ask.outputTokens < LONG_OUTPUT_TOKENS) return load + away + reading;
+  if (request.outputTokens < LONG_OUTPUT_TOKENS) return load + away + reading;
   const packed = load <= PACK_LOAD ? 1 - load : 1 + load;
-  const tokens = ask.promptTokens + ask.outputTokens;
-  const missChance = engine.runs.expectMisses(tokens, length)?.own ?? 0;
-  return packed + away + reading + missChance * MISS_WEIGHT;
+  const tokens = request.promptTokens + request.outputTokens;
+  const missProbability = engine.runs.estimateMisses(tokens, length)?.own ?? 0;
+  return packed + away + reading + missProbability * MISS_WEIGHT;
 };
--- a/src/scheduling/sizeFairness.ts
+++ b/src/scheduling/sizeFairness.ts
@@ -10,13 +10,13 @@
 const LARGE_PERCENTILE = 70;
 const LARGEST_PERCENTILE = 90;
 /** A group lags that is served less than this times as often as all. */
-const LAG_RATIO = 0.7;
+const UNDERSERVED_RATIO = 0.7;
 /** Requests after which the bounds of the groups are looked up again. */
-const BOUNDS_EACH = 20;
+const BOUNDS_INTERVAL = 20;
 /** Sizes that are needed before groups mean anything. */
-const LEAST_SIZES = 40;
+const MIN_SIZES = 40;
 /** Counts are halved when so many requests of a route were counted. */
-const KEPT_REQUESTS = 1500;
+const MAX_COUNTED_REQUESTS = 1500;
 const MAX_ROUTES = 256;
 
 export type SizeGroup = "largest" | "large" | "rest";
@@ -47,7 +47,7 @@
   };
 
   groupOf(size: number): SizeGroup {
-    if (this.sizes.totalCount < LEAST_SIZES) return "rest";
+    if (this.sizes.totalCount < MIN_SIZES) return "rest";
     if (size >= this.largestFrom) return "largest";
     return size >= this.largeFrom ? "large" : "rest";
   }
@@ -56,19 +56,19 @@
   private record(size: number): void {
     const { sizes } = this;
     sizes.recordValue(Math.max(1, Math.round(size)));
-    if (sizes.totalCount % BOUNDS_EACH !== 0) return;
+    if (sizes.totalCount % BOUNDS_INTERVAL !== 0) return;
     this.largestFrom = sizes.getValueAtPercentile(LARGEST_PERCENTILE);
     this.largeFrom = sizes.getValueAtPercentile(LARGE_PERCENTILE);
   }
 
-  lags(group: SizeGroup): boolean {
+  isUnderserved(group: SizeGroup): boolean {
     const { asked, served } = this.groups[group];
     if (group === "rest" || asked === 0 || this.all.asked === 0) return false;
     const share = this.all.served / this.all.asked;
-    return served / asked < share * LAG_RATIO;
+    return served / asked < share * UNDERSERVED_RATIO;
   }
 
-  uncountServed(size: number): void {
+  revertServed(size: number): void {
     const group = this.groups[this.groupOf(size)];
     for (const count of [this.all, group]) {
       count.served = Math.max(0, count.served - 1);
@@ -82,7 +82,7 @@
       if (isServed) count.served += 1;
     }
     this.record(size);
-    if (this.all.asked < KEPT_REQUESTS) return;
+    if (this.all.asked < MAX_COUNTED_REQUESTS) return;
     for (const count of [this.all, ...Object.values(this.groups)]) {
       count.asked /= 2;
       count.served /= 2;
@@ -94,14 +94,14 @@
   private readonly routes = new Map<string, RouteSizes>();
 
   /** Whether requests of this size lag behind the rest of their route. */
-  lags(route: string, size: number): boolean {
+  isUnderserved(route: string, size: number): boolean {
     const sizes = this.routes.get(route);
-    return sizes !== undefined && sizes.lags(sizes.groupOf(size));
+    return sizes !== undefined && sizes.isUnderserved(sizes.groupOf(size));
   }
 
   /** Reverts the served count of a request that was not served after all. */
-  uncountServed(route: string, size: number): void {
-    this.routes.get(route)?.uncountServed(size);
+  revertServed(route: string, size: number): void {
+    this.routes.get(route)?.revertServed(size);
   }
 
   /** Counts one request and whether it was served. */
--- a/src/scheduling/stageDemand.ts
+++ b/src/scheduling/stageDemand.ts
@@ -3,8 +3,8 @@
  * the planner of stages. Pure; times are ms.
  */
 import type { EngineState } from "./engineState.js";
-import { NO_LOAD } from "./schedulerLoad.js";
-import type { SchedulerLoad } from "./schedulerLoad.js";
+import { NO_DEMAND } from "./demandTotals.js";
+import type { DemandTotals } from "./demandTotals.js";
 
 /** Time constant of the smoothed demand, ms. */
 const SMOOTHING_MS = 1200;
@@ -15,36 +15,36 @@
  * followed, and engines are on their way when the burst that they are meant for
  * comes.
  */
-const PEAK_HALF_MS = 60_000;
+const PEAK_HALF_LIFE_MS = 60_000;
 
 /** A rate that follows what is asked for, and its fading peak. */
-class Demand {
+class SmoothedPeak {
   private mean = 0;
   peak = 0;
 
   measure(rate: number, spanMs: number): void {
     this.mean += (rate - this.mean) * (1 - Math.exp(-spanMs / SMOOTHING_MS));
-    this.hold(this.mean, spanMs);
+    this.raisePeak(this.mean, spanMs);
   }
 
   /** Lifts the peak to a value that was seen. */
-  hold(value: number, spanMs: number): void {
-    const fade = 0.5 ** (spanMs / PEAK_HALF_MS);
+  raisePeak(value: number, spanMs: number): void {
+    const fade = 0.5 ** (spanMs / PEAK_HALF_LIFE_MS);
     this.peak = Math.max(value, this.peak * fade);
   }
 }
 
 export class StageDemand {
   private lastAt: number | undefined;
-  private last: SchedulerLoad = NO_LOAD;
-  private readonly reading = new Demand();
-  private readonly rests = new Demand();
-  private readonly runs = new Demand();
-  private readonly runTokens = new Demand();
+  private last: DemandTotals = NO_DEMAND;
+  private readonly prefill = new SmoothedPeak();
+  private readonly decodePrefill = new SmoothedPeak();
+  private readonly runs = new SmoothedPeak();
+  private readonly runTokens = new SmoothedPeak();
 
   /** Takes in what was asked for since the last call, and what runs now. */
   measure(
-    asked: SchedulerLoad,
+    asked: DemandTotals,
     engines: readonly EngineState[],
     now: number,
   ): void {
@@ -53,24 +53,27 @@
     this.last = { ...asked };
     this.lastAt = now;
     if (spanMs <= 0) return;
-    this.reading.measure((asked.readMs - last.readMs) / spanMs, spanMs);
-    this.rests.measure((asked.restMs - last.restMs) / spanMs, spanMs);
+    this.prefill.measure((asked.prefillMs - last.prefillMs) / spanMs, spanMs);
+    this.decodePrefill.measure(
+      (asked.decodePrefillMs - last.decodePrefillMs) / spanMs,
+      spanMs,
+    );
     this.runs.measure((asked.runMs - last.runMs) / spanMs, spanMs);
     const tokens = (asked.runTokenMs - last.runTokenMs) / spanMs;
     this.runTokens.measure(tokens, spanMs);
     const { runCount, runTokens } = totalOf(engines);
-    this.runs.hold(runCount, 0);
-    this.runTokens.hold(runTokens, 0);
+    this.runs.raisePeak(runCount, 0);
+    this.runTokens.raisePeak(runTokens, 0);
   }
 
   /** Reading asked for, in engines that do nothing else. */
-  get read(): number {
-    return this.reading.peak;
+  get prefillEngines(): number {
+    return this.prefill.peak;
   }
 
   /** Reading by engines that make tokens, in such engines. */
-  get rest(): number {
-    return this.rests.peak;
+  get decodePrefillEngines(): number {
+    return this.decodePrefill.peak;
   }
 
   /** Most runs at once, seen or to be expected. */
--- a/src/scheduling/stagePlanner.ts
+++ b/src/scheduling/stagePlanner.ts
@@ -18,18 +18,18 @@
   changingTo: Stage | undefined;
 }
 
-export interface StageQuestion {
+export interface StagePlanInput {
   engines: readonly PlannedEngine[];
   /** Reading asked for, in engines that do nothing else; smoothed. */
-  readDemand: number;
+  prefillDemand: number;
   /** Reading by engines that make tokens, in such engines; smoothed. */
-  restDemand: number;
+  decodePrefillDemand: number;
   /** Most runs, and tokens of runs, at once over the last seconds. */
   peakRuns: number;
   peakRunTokens: number;
   /** Since the last change the other way, ms. */
-  sinceToPrefillMs: number;
-  sinceToDecodeMs: number;
+  sinceChangeToPrefillMs: number;
+  sinceChangeToDecodeMs: number;
 }
 
 export interface StageChange {
@@ -39,37 +39,37 @@
 }
 
 /** Part of the slots and memory of decode engines that runs should take. */
-const RUN_FILL = 0.75;
+const TARGET_RUN_USAGE = 0.75;
 /** Part of an engine's time that reading should take. */
-const READ_FILL = 0.85;
+const TARGET_PREFILL_USAGE = 0.85;
 /** Part of the time of engines that make tokens that reading should take. */
-const REST_FILL = 0.4;
+const TARGET_DECODE_PREFILL_USAGE = 0.4;
 /**
  * Engines of each stage at least, share of all: what is left of a stage after
  * a loss must bear a mix that has just turned.
  */
-const LEAST_SHARE = 0.3;
+const MIN_STAGE_SHARE = 0.3;
 /** Changes under way at once, share of all engines. */
-const CHANGING_SHARE = 0.5;
+const MAX_CHANGING_SHARE = 0.5;
 /**
  * No change back sooner than this after a change, ms. A change takes an
  * engine away for some three seconds, and mixes swing as quickly: following
  * each swing costs more than it gives.
  */
-const DWELL_MS = 8000;
+const MIN_DWELL_MS = 8000;
 /** Engines by which a split must be off before nothing lacks, share of all. */
-const SPARE_OFF_SHARE = 0.1;
+const MIN_IMBALANCE_SHARE = 0.1;
 /**
  * Engines, share of all, that both stages together count as needing besides
  * what was seen, half each. Until anything was seen, half of the engines of
  * each stage bear the most; the first requests of one kind say nothing of
  * the other.
  */
-const UNSEEN_SHARE = 0.1;
+const BASELINE_SHARE = 0.1;
 /** Readers, share of all, while nothing is known of the mix. */
-const HALF = 0.5;
+const DEFAULT_PREFILL_SHARE = 0.5;
 /** Needs below this, share of all engines, say nothing of the mix. */
-const LEAST_KNOWN_SHARE = 0.1;
+const MIN_KNOWN_SHARE = 0.1;
 
 const countOf = (engines: readonly PlannedEngine[], stage: Stage): number =>
   engines.filter((item) => (item.changingTo ?? item.stage) === stage).length;
@@ -80,15 +80,15 @@
   decode: number;
 }
 
-const needsOf = (question: StageQuestion): Needs => {
+const needsOf = (question: StagePlanInput): Needs => {
   const { engines, peakRuns, peakRunTokens } = question;
   const [first] = engines;
   if (first === undefined) return { prefill: 0, decode: 0 };
-  const bySlots = peakRuns / (first.slots * RUN_FILL);
-  const byMemory = peakRunTokens / (first.kvCapacityTokens * RUN_FILL);
-  const byReading = question.restDemand / REST_FILL;
+  const bySlots = peakRuns / (first.slots * TARGET_RUN_USAGE);
+  const byMemory = peakRunTokens / (first.kvCapacityTokens * TARGET_RUN_USAGE);
+  const byReading = question.decodePrefillDemand / TARGET_DECODE_PREFILL_USAGE;
   return {
-    prefill: question.readDemand / READ_FILL,
+    prefill: question.prefillDemand / TARGET_PREFILL_USAGE,
     decode: Math.max(bySlots, byMemory, byReading),
   };
 };
@@ -97,55 +97,55 @@
  * Engines that should read: both stages get the same multiple of their need,
  * so that either can bear as large a burst, or the loss of as many engines.
  */
-const readersFor = ({ prefill, decode }: Needs, all: number): number => {
-  const least = Math.max(1, Math.ceil(all * LEAST_SHARE));
-  const isKnown = prefill + decode >= all * LEAST_KNOWN_SHARE;
-  const unseen = all * UNSEEN_SHARE;
+const prefillTarget = ({ prefill, decode }: Needs, all: number): number => {
+  const least = Math.max(1, Math.ceil(all * MIN_STAGE_SHARE));
+  const isKnown = prefill + decode >= all * MIN_KNOWN_SHARE;
+  const unseen = all * BASELINE_SHARE;
   const share = isKnown
     ? (prefill + unseen / 2) / (prefill + decode + unseen)
-    : HALF;
+    : DEFAULT_PREFILL_SHARE;
   return Math.min(all - least, Math.max(least, Math.round(all * share)));
 };
 
 /** At most one change. */
 export const planStages = (
-  question: StageQuestion,
+  question: StagePlanInput,
 ): StageChange | undefined => {
   const { engines } = question;
   const all = engines.length;
   const needs = needsOf(question);
   const changing = engines.filter((item) => item.changingTo !== undefined);
-  const mostChanging = Math.max(1, Math.floor(all * CHANGING_SHARE));
+  const mostChanging = Math.max(1, Math.floor(all * MAX_CHANGING_SHARE));
   if (changing.length >= mostChanging) return undefined;
   const prefill = countOf(engines, "prefill");
   const decode = countOf(engines, "decode");
-  const target = readersFor(needs, all);
+  const target = prefillTarget(needs, all);
   const why =
     `reading needs ${needs.prefill.toFixed(1)} of ${prefill}, ` +
     `runs need ${needs.decode.toFixed(1)} of ${decode}, ` +
     `${target} should read`;
-  const spareOff = Math.max(1, Math.ceil(all * SPARE_OFF_SHARE));
+  const minImbalance = Math.max(1, Math.ceil(all * MIN_IMBALANCE_SHARE));
   const isSpare = {
     prefill: prefill - 1 >= needs.prefill,
     decode: decode - 1 >= needs.decode,
   };
-  const lacksReaders = needs.prefill > prefill;
-  const lacksRunners = needs.decode > decode;
-  if (target - prefill >= (lacksReaders ? 1 : spareOff)) {
-    const isSoon = question.sinceToDecodeMs < DWELL_MS;
+  const lacksPrefill = needs.prefill > prefill;
+  const lacksDecode = needs.decode > decode;
+  if (target - prefill >= (lacksPrefill ? 1 : minImbalance)) {
+    const isSoon = question.sinceChangeToDecodeMs < MIN_DWELL_MS;
     if (isSoon || !isSpare.decode) return undefined;
-    return changeIdlest(engines, "prefill", why);
+    return changeLeastLoaded(engines, "prefill", why);
   }
-  if (prefill - target >= (lacksRunners ? 1 : spareOff)) {
-    const isSoon = question.sinceToPrefillMs < DWELL_MS;
+  if (prefill - target >= (lacksDecode ? 1 : minImbalance)) {
+    const isSoon = question.sinceChangeToPrefillMs < MIN_DWELL_MS;
     if (isSoon || !isSpare.prefill) return undefined;
-    return changeIdlest(engines, "decode", why);
+    return changeLeastLoaded(engines, "decode", why);
   }
   return undefined;
 };
 
 /** The engine with the least to finish changes. */
-const changeIdlest = (
+const changeLeastLoaded = (
   engines: readonly PlannedEngine[],
   to: Stage,
   why: string,
--- a/src/scheduling/tokenPace.ts
+++ b/src/scheduling/tokenTimeModel.ts
@@ -9,7 +9,7 @@
 /** Concurrent work on an engine. */
 export interface RunLoad {
   /** Share of the slots in use. */
-  fill: number;
+  slotUsage: number;
   /** Tokens that all runs hold in KV memory. */
   tokens: number;
 }
@@ -28,32 +28,34 @@
   kTokensMs: number;
 }
 
-const KEPT_SAMPLES = 160;
-const LEAST_SAMPLES = 16;
+const MAX_SAMPLES = 160;
+const MIN_SAMPLES = 16;
 const REFIT_INTERVAL = 16;
 /** Weight of the prior on each coefficient, relative to the samples. */
 const PRIOR_WEIGHT = 0.05;
 /** Keeps a coefficient determined when its term is zero in all samples. */
-const LEAST_COLUMN_NORM = 1e-9;
+const MIN_COLUMN_NORM = 1e-9;
 const TOKENS_PER_K = 1000;
 
-const termsOf = ({ fill, tokens }: RunLoad): number[] => [
+const termsOf = ({ slotUsage, tokens }: RunLoad): number[] => [
   1,
-  fill,
+  slotUsage,
   tokens / TOKENS_PER_K,
 ];
 
-export class TokenPace {
+export class TokenTimeModel {
   private readonly samples: Sample[] = [];
   private sinceFit = 0;
   private cost: TokenCost | undefined;
 
   /** Expected time per token at `load`, ms; undefined before the first fit. */
-  expectMs(load: RunLoad): number | undefined {
+  estimateMs(load: RunLoad): number | undefined {
     if (this.cost === undefined) return undefined;
     const { fixedMs, fillMs, kTokensMs } = this.cost;
     return (
-      fixedMs + fillMs * load.fill + (kTokensMs * load.tokens) / TOKENS_PER_K
+      fixedMs +
+      fillMs * load.slotUsage +
+      (kTokensMs * load.tokens) / TOKENS_PER_K
     );
   }
 
@@ -61,10 +63,10 @@
   observe(load: RunLoad, tokenMs: number): void {
     if (!(tokenMs > 0)) return;
     this.samples.push({ load, tokenMs });
-    if (this.samples.length > KEPT_SAMPLES) this.samples.shift();
+    if (this.samples.length > MAX_SAMPLES) this.samples.shift();
     this.sinceFit += 1;
     const isDue = this.sinceFit >= REFIT_INTERVAL;
-    if (this.samples.length < LEAST_SAMPLES || !isDue) return;
+    if (this.samples.length < MIN_SAMPLES || !isDue) return;
     this.sinceFit = 0;
     this.cost = fitCost(this.samples) ?? this.cost;
   }
@@ -82,12 +84,12 @@
   );
   const targets = samples.map(() => 1);
   const emptyMs = median(
-    samples.map(({ load, tokenMs }) => tokenMs / (1 + load.fill)),
+    samples.map(({ load, tokenMs }) => tokenMs / (1 + load.slotUsage)),
   );
   const prior = [emptyMs, emptyMs, 0];
   for (const [at, expectedMs] of prior.entries()) {
     const norm = Math.hypot(...rows.map((row) => row[at] ?? 0));
-    const weight = Math.max(norm, LEAST_COLUMN_NORM) * PRIOR_WEIGHT;
+    const weight = Math.max(norm, MIN_COLUMN_NORM) * PRIOR_WEIGHT;
     rows.push(prior.map((_, other) => (other === at ? weight : 0)));
     targets.push(expectedMs * weight);
   }
--- a/src/scheduling/types.ts
+++ b/src/scheduling/types.ts
@@ -27,7 +27,7 @@
 }
 
 /** One request that wants engines. Times are in ms. */
-export interface PlacementAsk {
+export interface PlacementRequest {
   /** Unique among the requests of all entries. */
   id: string;
   service: string;
@@ -67,7 +67,7 @@
   donor: string | undefined;
   /** Expected time from now to the end of the read, ms. */
   readMs: number;
-  /** Time from the holder's receipt of the ask to the grant, ms. */
+  /** Time from the holder's receipt of the request to the grant, ms. */
   waitedMs: number;
   /** Upper bound on the time since the grant was issued, ms. */
   ageMs: number;
--- a/src/scheduling/waitQueue.ts
+++ b/src/scheduling/waitQueue.ts
@@ -6,66 +6,68 @@
  * taken in only where its turn is expected to come well before its caller
  * gives up. Pure; times are ms.
  */
-import type { PlacementAsk } from "./types.js";
+import type { PlacementRequest } from "./types.js";
 
 /**
  * Part of its time in which a late request must be expected to begin: the
  * rest covers the error of the estimate, and those that overtake.
  */
-const EXPECTED_PART = 0.5;
+const ALLOWED_WAIT_SHARE = 0.5;
 /** A larger share of reading in time is not believed. */
-const MOST_URGENT_SHARE = 0.9;
-const MAX_WAITING = 1024;
+const MAX_ON_TIME_SHARE = 0.9;
+const MAX_QUEUED = 1024;
 /**
  * What becomes of late requests corrects the estimate: each that waited in
  * vain shortens the waits that are allowed to this part, …
  */
-const VAIN_FACTOR = 0.8;
+const EXPIRED_FACTOR = 0.8;
 /** … each that began adds this part of the full length again. */
-const BEGUN_STEP = 0.02;
-const LEAST_TRUST = 0.05;
+const STARTED_STEP = 0.02;
+const MIN_CONFIDENCE = 0.05;
 
 /** A request that waits. */
-export interface WaitingAsk {
-  ask: PlacementAsk;
+export interface QueuedRequest {
+  request: PlacementRequest;
   /** Expected time of its read, ms. */
   costMs: number;
-  arrivedAt: number;
+  queuedAt: number;
   /** Its answer is in time if its read begins by then. */
-  inTimeUntil: number;
+  onTimeUntil: number;
   /** Its caller gives up if its read begins later. */
   latestStartAt: number;
 }
 
 /** What the engines have to do at the moment. */
-export interface ReadingLoad {
+export interface PrefillLoad {
   engines: number;
   /** Mean time until an engine has read what it was given, ms. */
   backlogMs: number;
   /** Part of their time that reading for answers in time takes. */
-  urgentShare: number;
+  onTimeShare: number;
   /** Until one more run can begin, ms: none where there is room. */
-  roomMs: number;
+  capacityWaitMs: number;
 }
 
-const costOf = (items: readonly WaitingAsk[]): number =>
+const costOf = (items: readonly QueuedRequest[]): number =>
   items.reduce((sum, item) => sum + item.costMs, 0);
 
 /** Expected wait for room to run, with so many before it, ms. */
-const roomWaitMs = ({ roomMs }: ReadingLoad, before: number): number =>
-  roomMs === 0 ? 0 : roomMs * (before + 1);
+const capacityDelayMs = (
+  { capacityWaitMs }: PrefillLoad,
+  before: number,
+): number => (capacityWaitMs === 0 ? 0 : capacityWaitMs * (before + 1));
 
 /** Whether `left` goes before `right` where both will be late. */
-const goesBefore = (left: WaitingAsk, right: WaitingAsk): boolean => {
-  const byPriority = left.ask.priority - right.ask.priority;
+const precedesLate = (left: QueuedRequest, right: QueuedRequest): boolean => {
+  const byPriority = left.request.priority - right.request.priority;
   if (byPriority !== 0) return byPriority < 0;
   return left.latestStartAt < right.latestStartAt;
 };
 
 const insert = (
-  list: WaitingAsk[],
-  item: WaitingAsk,
-  isBefore: (left: WaitingAsk, right: WaitingAsk) => boolean,
+  list: QueuedRequest[],
+  item: QueuedRequest,
+  isBefore: (left: QueuedRequest, right: QueuedRequest) => boolean,
 ): void => {
   const at = list.findIndex((other) => isBefore(item, other));
   list.splice(at < 0 ? list.length : at, 0, item);
@@ -73,88 +75,92 @@
 
 export class WaitQueue {
   /** By the instant at which they must begin. */
-  private readonly urgent: WaitingAsk[] = [];
-  private readonly late: WaitingAsk[] = [];
+  private readonly onTime: QueuedRequest[] = [];
+  private readonly late: QueuedRequest[] = [];
   /** Part of the allowed waits that is believed at the moment. */
-  private trust = 1;
+  private confidence = 1;
 
   get size(): number {
-    return this.urgent.length + this.late.length;
+    return this.onTime.length + this.late.length;
   }
 
   /** Whether another must begin before this one. */
-  hasBefore(item: WaitingAsk): boolean {
-    const first = this.urgent[0];
-    return first !== undefined && first.inTimeUntil < item.inTimeUntil;
+  hasMoreUrgent(item: QueuedRequest): boolean {
+    const first = this.onTime[0];
+    return first !== undefined && first.onTimeUntil < item.onTimeUntil;
   }
 
   /** Whether its turn is expected to come soon enough. */
-  mayWait(item: WaitingAsk, load: ReadingLoad, now: number): boolean {
-    if (load.engines === 0 || this.size >= MAX_WAITING) return false;
-    if (now + this.urgentWaitMs(item, load) <= item.inTimeUntil) return true;
-    const allowedMs = (item.latestStartAt - now) * EXPECTED_PART * this.trust;
+  canQueue(item: QueuedRequest, load: PrefillLoad, now: number): boolean {
+    if (load.engines === 0 || this.size >= MAX_QUEUED) return false;
+    if (now + this.onTimeWaitMs(item, load) <= item.onTimeUntil) return true;
+    const allowedMs =
+      (item.latestStartAt - now) * ALLOWED_WAIT_SHARE * this.confidence;
     return this.lateWaitMs(item, load) <= allowedMs;
   }
 
   /** Expected wait where it is to be in time, ms. */
-  private urgentWaitMs(item: WaitingAsk, load: ReadingLoad): number {
-    const ahead = this.urgent.filter(
-      (other) => other.inTimeUntil <= item.inTimeUntil,
+  private onTimeWaitMs(item: QueuedRequest, load: PrefillLoad): number {
+    const ahead = this.onTime.filter(
+      (other) => other.onTimeUntil <= item.onTimeUntil,
     );
     const readingMs = load.backlogMs + costOf(ahead) / load.engines;
-    return Math.max(readingMs, roomWaitMs(load, ahead.length));
+    return Math.max(readingMs, capacityDelayMs(load, ahead.length));
   }
 
   /** Expected wait where it will be late, ms. */
-  private lateWaitMs(item: WaitingAsk, load: ReadingLoad): number {
-    const ahead = this.late.filter((other) => !goesBefore(item, other));
-    const aheadMs = (costOf(this.urgent) + costOf(ahead)) / load.engines;
-    const share = Math.min(MOST_URGENT_SHARE, load.urgentShare);
+  private lateWaitMs(item: QueuedRequest, load: PrefillLoad): number {
+    const ahead = this.late.filter((other) => !precedesLate(item, other));
+    const aheadMs = (costOf(this.onTime) + costOf(ahead)) / load.engines;
+    const share = Math.min(MAX_ON_TIME_SHARE, load.onTimeShare);
     const readingMs = (load.backlogMs + aheadMs) / (1 - share);
-    const before = this.urgent.length + ahead.length;
-    return Math.max(readingMs, roomWaitMs(load, before));
+    const before = this.onTime.length + ahead.length;
+    return Math.max(readingMs, capacityDelayMs(load, before));
   }
 
-  add(item: WaitingAsk, now: number): void {
-    if (now > item.inTimeUntil) return insert(this.late, item, goesBefore);
+  add(item: QueuedRequest, now: number): void {
+    if (now > item.onTimeUntil) return insert(this.late, item, precedesLate);
     insert(
-      this.urgent,
+      this.onTime,
       item,
-      (left, right) => left.inTimeUntil < right.inTimeUntil,
+      (left, right) => left.onTimeUntil < right.onTimeUntil,
     );
   }
 
-  drop(id: string): void {
-    for (const list of [this.urgent, this.late]) {
-      const at = list.findIndex((item) => item.ask.id === id);
+  remove(id: string): void {
+    for (const list of [this.onTime, this.late]) {
+      const at = list.findIndex((item) => item.request.id === id);
       if (at >= 0) list.splice(at, 1);
     }
   }
 
   /** It begins now. */
-  begin(item: WaitingAsk, now: number): void {
-    this.drop(item.ask.id);
-    if (now <= item.inTimeUntil) return;
-    this.trust = Math.min(1, this.trust + BEGUN_STEP);
+  dequeue(item: QueuedRequest, now: number): void {
+    this.remove(item.request.id);
+    if (now <= item.onTimeUntil) return;
+    this.confidence = Math.min(1, this.confidence + STARTED_STEP);
   }
 
   /** Takes out those that nobody would wait for any longer. */
-  takeHopeless(now: number): WaitingAsk[] {
-    const expired = this.urgent.filter((item) => now > item.inTimeUntil);
-    for (const item of expired) {
-      this.drop(item.ask.id);
-      insert(this.late, item, goesBefore);
+  removeExpired(now: number): QueuedRequest[] {
+    const overdue = this.onTime.filter((item) => now > item.onTimeUntil);
+    for (const item of overdue) {
+      this.remove(item.request.id);
+      insert(this.late, item, precedesLate);
     }
-    const hopeless = this.late.filter((item) => now > item.latestStartAt);
-    for (const { ask } of hopeless) {
-      this.drop(ask.id);
-      this.trust = Math.max(LEAST_TRUST, this.trust * VAIN_FACTOR);
+    const expired = this.late.filter((item) => now > item.latestStartAt);
+    for (const { request } of expired) {
+      this.remove(request.id);
+      this.confidence = Math.max(
+        MIN_CONFIDENCE,
+        this.confidence * EXPIRED_FACTOR,
+      );
     }
-    return hopeless;
+    return expired;
   }
 
   /** The first ones, in their order. */
-  first(count: number): WaitingAsk[] {
-    return [...this.urgent, ...this.late].slice(0, count);
+  peek(count: number): QueuedRequest[] {
+    return [...this.onTime, ...this.late].slice(0, count);
   }
 }
--- a/tests/gateway/placement.test.ts
+++ b/tests/gateway/placement.test.ts
@@ -9,7 +9,7 @@
 import type {
   EngineView,
   Grant,
-  PlacementAsk,
+  PlacementRequest,
 } from "../../src/scheduling/index.js";
 import type { Log } from "../../src/telemetry/index.js";
 import { until } from "../support/until.js";
@@ -32,7 +32,7 @@
 });
 const ENGINES = [engine("reader", "prefill"), engine("runner", "decode")];
 
-const ask = (id: string): PlacementAsk => ({
+const ask = (id: string): PlacementRequest => ({
   id,
   service: SERVICE,
   route: "lookup",
@@ -178,12 +178,12 @@
     it(`goes on after a call that its decisions throw on: ${tell}`, async () => {
       const entry = await connect();
       const scheduler = local.scheduler(SERVICE);
-      const { place, adopt } = scheduler;
+      const { place, adoptGrant: adopt } = scheduler;
       scheduler.place = (given, at) => {
         if (given.route === "bad") throw new Error("thrown on purpose");
         return place.call(scheduler, given, at);
       };
-      scheduler.adopt = (given, ...rest) => {
+      scheduler.adoptGrant = (given, ...rest) => {
         if (given.route === "bad") throw new Error("thrown on purpose");
         return adopt.call(scheduler, given, ...rest);
       };
@@ -240,7 +240,7 @@
     const first = await entry.ask(ask("first"));
     expect(first?.kind).to.equal("granted");
     const second = entry.ask(ask("second"));
-    await until(() => local.scheduler(SERVICE).waiting === 1);
+    await until(() => local.scheduler(SERVICE).queueLength === 1);
     entry.note({ kind: "ended", id: "first", ok: true, firstEventMs: 5 });
     expect((await second)?.kind).to.equal("granted");
   });
@@ -252,7 +252,7 @@
     expect((await lost.ask(ask("first")))?.kind).to.equal("granted");
     expect(runs()).to.equal(1);
     const waiting = other.ask(ask("second"));
-    await until(() => local.scheduler(SERVICE).waiting === 1);
+    await until(() => local.scheduler(SERVICE).queueLength === 1);
     lost.close();
     expect((await waiting)?.kind).to.equal("granted");
     expect(runs()).to.equal(1);
--- a/tests/gateway/placementMessages.test.ts
+++ b/tests/gateway/placementMessages.test.ts
@@ -3,9 +3,9 @@
 
 import { PlaceCall } from "../../src/gen/snowgate.js";
 import { toPlaceAsk } from "../../src/placement/messages.js";
-import type { PlacementAsk } from "../../src/scheduling/index.js";
+import type { PlacementRequest } from "../../src/scheduling/index.js";
 
-const ASK: PlacementAsk = {
+const ASK: PlacementRequest = {
   id: "e/1",
   service: "model",
   route: "r",
--- a/tests/gateway/scheduling.test.ts
+++ b/tests/gateway/scheduling.test.ts
@@ -6,7 +6,7 @@
 import type {
   EngineView,
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   Queued,
   Refusal,
   Stage,
@@ -29,7 +29,7 @@
 ];
 
 let sequence = 0;
-const ask = (more: Partial<PlacementAsk> = {}): PlacementAsk => {
+const ask = (more: Partial<PlacementRequest> = {}): PlacementRequest => {
   sequence += 1;
   return {
     id: `ask-${sequence}`,
@@ -64,7 +64,11 @@
 
 const newScheduler = (share = 1, fleet = FLEET): EngineScheduler => {
   const scheduler = new EngineScheduler(() => share);
-  scheduler.pace.restore({ fixedMs: 0, tokenMs: 1 / 100, mPairMs: 0.15 });
+  scheduler.prefillModel.restoreCost({
+    fixedMs: 0,
+    tokenMs: 1 / 100,
+    mPairMs: 0.15,
+  });
   scheduler.setEngines(fleet);
   return scheduler;
 };
@@ -77,7 +81,7 @@
 const rejected = (id: string) => ({ kind: "rejected" as const, id });
 
 /** Asks until one is not granted; gives the number of grants. */
-const fill = (scheduler: EngineScheduler, more: Partial<PlacementAsk>) => {
+const fill = (scheduler: EngineScheduler, more: Partial<PlacementRequest>) => {
   for (let count = 0; ; count += 1) {
     const answer = scheduler.place(ask({ parts: [], ...more }), 0);
     if (answer.kind !== "granted") return count;
@@ -87,7 +91,7 @@
 /** Asks until one is refused; gives the refusal. */
 const refusal = (
   scheduler: EngineScheduler,
-  more: Partial<PlacementAsk>,
+  more: Partial<PlacementRequest>,
 ): Refusal => {
   for (;;) {
     const answer = scheduler.place(ask({ parts: [], ...more }), 0);
@@ -138,7 +142,7 @@
       const next = ask({ parts: [], objectiveLeftMs: 400 });
       expect(scheduler.place(next, 900).kind).not.to.equal("granted");
       scheduler.onEvent({ kind: "read", id: late.id, ok: true }, 950);
-      expect(scheduler.settle(960).map(({ id }) => id)).to.eql([next.id]);
+      expect(scheduler.answerQueued(960).map(({ id }) => id)).to.eql([next.id]);
     });
   });
 
@@ -187,7 +191,7 @@
     const scheduler = newScheduler();
     const count = fill(scheduler, { outputTokens: 10 });
     expect(count).to.be.at.least(2);
-    expect(scheduler.waiting).to.equal(1);
+    expect(scheduler.queueLength).to.equal(1);
     const answer = refusal(scheduler, { outputTokens: 10 });
     expect(answer.why).to.equal("too-late");
     expect(answer.retryAfterMs).to.be.greaterThan(0);
@@ -209,10 +213,10 @@
     scheduler.place(first, 0);
     fill(scheduler, {});
     refusal(scheduler, {});
-    expect(scheduler.settle(0)).to.deep.equal([]);
+    expect(scheduler.answerQueued(0)).to.deep.equal([]);
     scheduler.onEvent({ kind: "read", id: first.id, ok: true }, 0);
     scheduler.onEvent(ended(first.id, true), 0);
-    const kinds = scheduler.settle(0).map(({ answer }) => answer.kind);
+    const kinds = scheduler.answerQueued(0).map(({ answer }) => answer.kind);
     expect(kinds).to.deep.equal(["granted"]);
   });
 
@@ -386,8 +390,8 @@
       const state = scheduler
         .engineStates()
         .find((item) => item.view.id === reader);
-      state!.judge(false, 2);
-      expect(state!.isClosed(2)).to.equal(false);
+      state!.recordOutcome(false, 2);
+      expect(state!.isBackingOff(2)).to.equal(false);
     });
   });
 
@@ -398,7 +402,7 @@
       const held = ask({ promptTokens: 100 });
       const grant = { kind: "granted" as const, reader: undefined, runner };
       const rest = { donor: undefined, readMs: 0, waitedMs: 0, ageMs: 0 };
-      scheduler.adopt(held, { ...grant, ...rest }, false, 0);
+      scheduler.adoptGrant(held, { ...grant, ...rest }, false, 0);
     }
     const answer = scheduler.place(ask({ promptTokens: 100 }), 0);
     expect(answer.kind).to.equal("refused");
@@ -409,7 +413,7 @@
     for (const reader of ["pre-1", "pre-2"]) {
       const rest = { donor: undefined, readMs: 0, waitedMs: 0, ageMs: 0 };
       const held = { kind: "granted" as const, reader, runner: "dec-1" };
-      scheduler.adopt(ask(), { ...held, ...rest }, true, 0);
+      scheduler.adoptGrant(ask(), { ...held, ...rest }, true, 0);
     }
     const answer = granted(scheduler.place(ask({ parts: [] }), 2000));
     expect(answer.reader).to.match(/^pre-/);
@@ -423,9 +427,9 @@
   it("sees that the largest requests are left behind", () => {
     const fairness = new SizeFairness();
     for (const size of sizes) fairness.count("lookup", size, size <= 90);
-    expect(fairness.lags("lookup", 99)).to.equal(true);
-    expect(fairness.lags("lookup", 50)).to.equal(false);
-    expect(fairness.lags("other", 99)).to.equal(false);
+    expect(fairness.isUnderserved("lookup", 99)).to.equal(true);
+    expect(fairness.isUnderserved("lookup", 50)).to.equal(false);
+    expect(fairness.isUnderserved("other", 99)).to.equal(false);
   });
 
   it("detects that the largest answers are cut off", () => {
@@ -440,14 +444,14 @@
       scheduler.onEvent({ ...ended(one.id, true), stream }, 10);
     }
     const { fairness } = scheduler;
-    expect(fairness.lags("lookup", 100 + 10 * 990)).to.equal(true);
-    expect(fairness.lags("lookup", 100 + 10 * 500)).to.equal(false);
+    expect(fairness.isUnderserved("lookup", 100 + 10 * 990)).to.equal(true);
+    expect(fairness.isUnderserved("lookup", 100 + 10 * 500)).to.equal(false);
   });
 
   it("is content when they are served as often", () => {
     const fairness = new SizeFairness();
     for (const size of sizes) fairness.count("lookup", size, size % 2 === 0);
-    expect(fairness.lags("lookup", 99)).to.equal(false);
+    expect(fairness.isUnderserved("lookup", 99)).to.equal(false);
   });
 });
 
@@ -509,7 +513,7 @@
     expect(scheduler.place(ask(others), 0).kind).to.equal("granted");
     const allowedMs = 2000 * 0.5;
     const readMs = 60;
-    expect(scheduler.waiting * readMs).to.be.at.most(allowedMs);
+    expect(scheduler.queueLength * readMs).to.be.at.most(allowedMs);
   });
 
   it("get nothing also where they are the last of their stage", () => {
@@ -517,7 +521,7 @@
     const unavailable = ["pre-1", "pre-2"];
     const answer = scheduler.place(ask({ unavailable }), 0);
     expect(answer).to.include({ kind: "refused", why: "no-engine" });
-    expect(scheduler.waiting).to.equal(0);
+    expect(scheduler.queueLength).to.equal(0);
   });
 
   it("are not taken for ill, nor for holding what they did not read", () => {
@@ -532,10 +536,10 @@
     const [reader, runner] = ["pre-1", "dec-1"].map((id) =>
       scheduler.engineStates().find(({ view }) => view.id === id),
     );
-    expect(reader).to.include({ readCount: 0, runCount: 0 });
-    expect(runner).to.include({ readCount: 0, runCount: 0, runTokens: 0 });
+    expect(reader).to.include({ prefillCount: 0, runCount: 0 });
+    expect(runner).to.include({ prefillCount: 0, runCount: 0, runTokens: 0 });
     for (const state of [reader, runner]) {
-      expect(state?.isClosed(0)).to.equal(false);
+      expect(state?.isBackingOff(0)).to.equal(false);
       expect(state?.cachedTokens([{ key: "m/manual", tokens: 1 }])).to.equal(0);
     }
   });
@@ -552,7 +556,11 @@
       },
       ratePerS: (id) => (left[id] === undefined ? Infinity : 2),
     });
-    scheduler.pace.restore({ fixedMs: 0, tokenMs: 1 / 100, mPairMs: 0.15 });
+    scheduler.prefillModel.restoreCost({
+      fixedMs: 0,
+      tokenMs: 1 / 100,
+      mPairMs: 0.15,
+    });
     scheduler.setEngines(FLEET);
     return scheduler;
   };
@@ -596,7 +604,7 @@
     const one = ask({ objectiveLeftMs: 1000 });
     expect(scheduler.place(one, 0).kind).to.equal("queued");
     left["dec-2"] = 1;
-    const [settled] = scheduler.settle(260);
+    const [settled] = scheduler.answerQueued(260);
     expect(settled?.answer).to.include({ kind: "granted", runner: "dec-2" });
   });
 
--- a/tests/gateway/stagePlanner.test.ts
+++ b/tests/gateway/stagePlanner.test.ts
@@ -23,12 +23,12 @@
     ),
   ];
   const question = {
-    readDemand: 1,
-    restDemand: 0,
+    prefillDemand: 1,
+    decodePrefillDemand: 0,
     peakRuns: 5,
     peakRunTokens: 500,
-    sinceToPrefillMs: Infinity,
-    sinceToDecodeMs: Infinity,
+    sinceChangeToPrefillMs: Infinity,
+    sinceChangeToDecodeMs: Infinity,
   };
 
   const cases = [
@@ -36,7 +36,7 @@
       name: "leaves a fleet alone that can bear as much more of either",
       prefill: 4,
       decode: 4,
-      readDemand: 2,
+      prefillDemand: 2,
       peakRuns: 20,
       to: undefined,
     },
@@ -44,7 +44,7 @@
       name: "has a spare engine read before prompts rush in",
       prefill: 3,
       decode: 5,
-      readDemand: 2,
+      prefillDemand: 2,
       peakRuns: 10,
       to: "prefill",
     },
@@ -52,7 +52,7 @@
       name: "has a spare engine make tokens before answers grow",
       prefill: 5,
       decode: 3,
-      readDemand: 1,
+      prefillDemand: 1,
       peakRuns: 18,
       to: "decode",
     },
@@ -60,7 +60,7 @@
       name: "takes no reader that prompts need",
       prefill: 5,
       decode: 3,
-      readDemand: 4,
+      prefillDemand: 4,
       peakRuns: 60,
       to: undefined,
     },
@@ -68,7 +68,7 @@
       name: "judges nothing by a few prompts",
       prefill: 4,
       decode: 4,
-      readDemand: 0.15,
+      prefillDemand: 0.15,
       peakRuns: 0,
       to: undefined,
     },
@@ -76,7 +76,7 @@
       name: "judges nothing by a few answers",
       prefill: 4,
       decode: 4,
-      readDemand: 0,
+      prefillDemand: 0,
       peakRuns: 1,
       to: undefined,
     },
@@ -84,7 +84,7 @@
       name: "has half of the engines read while nothing was asked",
       prefill: 3,
       decode: 5,
-      readDemand: 0,
+      prefillDemand: 0,
       peakRuns: 0,
       to: "prefill",
     },
@@ -92,7 +92,7 @@
       name: "has half of them make tokens while nothing was asked",
       prefill: 5,
       decode: 3,
-      readDemand: 0,
+      prefillDemand: 0,
       peakRuns: 0,
       to: "decode",
     },
@@ -100,7 +100,7 @@
       name: "takes an idle engine for reading",
       prefill: 3,
       decode: 5,
-      readDemand: 4,
+      prefillDemand: 4,
       peakRuns: 5,
       to: "prefill",
     },
@@ -108,7 +108,7 @@
       name: "takes none that runs need",
       prefill: 3,
       decode: 5,
-      readDemand: 6,
+      prefillDemand: 6,
       peakRuns: 36,
       to: undefined,
     },
@@ -116,7 +116,7 @@
       name: "gives one back that runs need",
       prefill: 6,
       decode: 2,
-      readDemand: 1,
+      prefillDemand: 1,
       peakRuns: 25,
       to: "decode",
     },
@@ -124,30 +124,41 @@
       name: "keeps engines that make tokens",
       prefill: 5,
       decode: 3,
-      readDemand: 9,
+      prefillDemand: 9,
       peakRuns: 0,
       to: undefined,
     },
   ];
-  for (const { name, prefill, decode, readDemand, peakRuns, to } of cases) {
+  for (const { name, prefill, decode, prefillDemand, peakRuns, to } of cases) {
     it(name, () => {
       const engines = fleet(prefill, decode);
-      const change = planStages({ ...question, engines, readDemand, peakRuns });
+      const change = planStages({
+        ...question,
+        engines,
+        prefillDemand,
+        peakRuns,
+      });
       expect(change?.to).to.equal(to);
     });
   }
 
   it("leaves enough engines for the rests of prompts that runners read", () => {
     const engines = fleet(3, 5);
-    const asked = { ...question, engines, readDemand: 4 };
-    expect(planStages({ ...asked, restDemand: 1 })?.to).to.equal("prefill");
-    expect(planStages({ ...asked, restDemand: 2 })).to.equal(undefined);
+    const asked = { ...question, engines, prefillDemand: 4 };
+    expect(planStages({ ...asked, decodePrefillDemand: 1 })?.to).to.equal(
+      "prefill",
+    );
+    expect(planStages({ ...asked, decodePrefillDemand: 2 })).to.equal(
+      undefined,
+    );
   });
 
   it("does not turn back soon after a change", () => {
     const engines = fleet(3, 5);
-    const asked = { ...question, engines, readDemand: 4 };
-    expect(planStages({ ...asked, sinceToDecodeMs: 100 })).to.equal(undefined);
+    const asked = { ...question, engines, prefillDemand: 4 };
+    expect(planStages({ ...asked, sinceChangeToDecodeMs: 100 })).to.equal(
+      undefined,
+    );
   });
 
   describe("changes half of the fleet at a time at the most", () => {
@@ -163,7 +174,7 @@
     for (const { under, still, to } of rows) {
       it(`${under} of ${under + still} under way: ${to ?? "none"}`, () => {
         const engines = [...fleet(2, still - 2), ...changing(under)];
-        const asked = { ...question, engines, readDemand: 20 };
+        const asked = { ...question, engines, prefillDemand: 20 };
         expect(planStages(asked)?.to).to.equal(to);
       });
     }
@@ -171,7 +182,7 @@
 
   it("takes the engine with the least to finish", () => {
     const engines = [...fleet(3, 4, 4), planned("decode", 1)("idle")];
-    const change = planStages({ ...question, engines, readDemand: 4 });
+    const change = planStages({ ...question, engines, prefillDemand: 4 });
     expect(change?.id).to.equal("idle");
   });
 });
--- a/tests/gateway/tokenPace.test.ts
+++ b/tests/gateway/tokenPace.test.ts
@@ -3,32 +3,35 @@
 
 import { AnswerLengths } from "../../src/scheduling/answerLengths.js";
 import { EngineRuns } from "../../src/scheduling/engineRuns.js";
-import { TokenPace } from "../../src/scheduling/tokenPace.js";
+import { TokenTimeModel } from "../../src/scheduling/tokenTimeModel.js";
 
 describe("token pace", () => {
-  const load = (fill: number) => ({ fill, tokens: fill * 100_000 });
+  const load = (slotUsage: number) => ({
+    slotUsage,
+    tokens: slotUsage * 100_000,
+  });
 
   it("has no estimate before enough streams have ended", () => {
-    const pace = new TokenPace();
+    const pace = new TokenTimeModel();
     for (let at = 0; at < 15; at += 1) pace.observe(load(0.2), 1);
-    expect(pace.expectMs(load(0.2))).to.equal(undefined);
+    expect(pace.estimateMs(load(0.2))).to.equal(undefined);
   });
 
   it("fits the time per token to the load of an engine", () => {
-    const pace = new TokenPace();
+    const pace = new TokenTimeModel();
     for (let at = 0; at < 160; at += 1) {
-      const fill = (at % 16) / 16;
-      pace.observe(load(fill), 0.6 + 0.9 * fill);
+      const slotUsage = (at % 16) / 16;
+      pace.observe(load(slotUsage), 0.6 + 0.9 * slotUsage);
     }
-    expect(pace.expectMs(load(0.2))).to.be.closeTo(0.78, 0.04);
-    expect(pace.expectMs(load(1))).to.be.closeTo(1.5, 0.07);
+    expect(pace.estimateMs(load(0.2))).to.be.closeTo(0.78, 0.04);
+    expect(pace.estimateMs(load(1))).to.be.closeTo(1.5, 0.07);
   });
 
   it("expects a full engine to be slower without samples of one", () => {
-    const pace = new TokenPace();
+    const pace = new TokenTimeModel();
     for (let at = 0; at < 32; at += 1) pace.observe(load(0.2), 1);
-    expect(pace.expectMs(load(0.2))).to.be.closeTo(1, 0.05);
-    expect(pace.expectMs(load(1))).to.be.at.least(1.4);
+    expect(pace.estimateMs(load(0.2))).to.be.closeTo(1, 0.05);
+    expect(pace.estimateMs(load(1))).to.be.at.least(1.4);
   });
 });
 
@@ -54,18 +57,18 @@
 describe("engine runs", () => {
   const SLOTS = 10;
   const length = {
-    guessedTokens: 1000,
-    mostTokens: 1000,
+    estimatedTokens: 1000,
+    maxTokens: 1000,
     steepness: 20,
     leftMs: 1300,
   };
   const run = { tokens: 1000, deadlineAt: 1500, length };
   /** A token takes 1 ms on an empty engine and 2 ms on a full one. */
   const newRuns = (): EngineRuns => {
-    const pace = new TokenPace();
+    const pace = new TokenTimeModel();
     for (let at = 0; at < 160; at += 1) {
-      const fill = (at % 16) / 16;
-      pace.observe({ fill, tokens: 0 }, 1 + fill);
+      const slotUsage = (at % 16) / 16;
+      pace.observe({ slotUsage, tokens: 0 }, 1 + slotUsage);
     }
     return new EngineRuns(() => SLOTS, pace);
   };
@@ -73,14 +76,14 @@
   it("are expected to meet their deadline on a lightly loaded engine", () => {
     const runs = newRuns();
     runs.add("one", run, 0);
-    const { own, others } = runs.expectMisses(1000, length)!;
+    const { own, others } = runs.estimateMisses(1000, length)!;
     expect(own + others).to.be.at.most(0.1);
   });
 
   it("count the misses that an added run causes among the others", () => {
     const runs = newRuns();
     for (let at = 0; at < 3; at += 1) runs.add(`${at}`, run, 0);
-    const { own, others } = runs.expectMisses(1000, length)!;
+    const { own, others } = runs.estimateMisses(1000, length)!;
     expect(others).to.be.above(own);
     expect(others).to.be.above(1);
   });
@@ -95,13 +98,13 @@
 
   it("learn nothing from a stream that took no time", () => {
     const runs = newRuns();
-    const before = runs.expectMisses(1000, { ...length, leftMs: 900 })!;
+    const before = runs.estimateMisses(1000, { ...length, leftMs: 900 })!;
     for (let at = 0; at < 20; at += 1) {
       runs.add(`${at}`, run, at);
-      runs.measure(`${at}`, 0, at + 1);
+      runs.recordTokenMs(`${at}`, 0, at + 1);
       runs.end(`${at}`, at + 1);
     }
-    const after = runs.expectMisses(1000, { ...length, leftMs: 900 })!;
+    const after = runs.estimateMisses(1000, { ...length, leftMs: 900 })!;
     expect(after.own).to.equal(before.own);
   });
 });
