--- a/src/scheduling/answerLengths.ts
+++ b/src/scheduling/answerLengths.ts
@@ -6,7 +6,7 @@
 
 const MAX_ANSWERS = 120;
 const MIN_ANSWERS = 12;
-/** Answers between two fits. */
+/** Number of answers between two fits. */
 const REFIT_INTERVAL = 12;
 /** Shorter answers are too noisy to estimate tokens per event. */
 const MIN_EVENTS = 4;
--- a/src/scheduling/demandTotals.ts
+++ b/src/scheduling/demandTotals.ts
@@ -1,15 +1,16 @@
-/** What has been asked of a service's engines, as sums that only grow. */
+/** Cumulative demand on the engines of a service. The totals only grow. */
 export interface DemandTotals {
-  /** Reading time of one prefill engine, refused requests included, ms. */
+  /** Prefill time on a single prefill engine, refused requests included, ms. */
   prefillMs: number;
-  /** Reading of short rests by engines that make tokens, ms. */
+  /** Time for short uncached prompt remainders prefilled by decode engines, ms. */
   decodePrefillMs: number;
   /**
-   * Time that runs take a slot, ms, and a place in memory, token x ms, as far
-   * as their lengths tell. Runs that are there now tell of it only when the
-   * longest have had the time to come together.
+   * Estimated slot time of runs, ms, from their output tokens. The number of
+   * current runs shows this demand only once the longest runs have
+   * accumulated.
    */
   runMs: number;
+  /** Estimated KV memory use of runs over time, token x ms. */
   runTokenMs: number;
 }
 
--- a/src/scheduling/enginePool.ts
+++ b/src/scheduling/enginePool.ts
@@ -1,16 +1,19 @@
-/** The engines of one service as the scheduler sees them. Pure. */
+/** Scheduling state of the engines of one service. Pure. */
 import { EngineState } from "./engineState.js";
 import type { EnginePermits } from "../rateLimits/index.js";
 import type { PrefillTimeModel } from "./prefillTimeModel.js";
 import type { TokenTimeModel } from "./tokenTimeModel.js";
 import type { EngineView, PlacementRequest } from "./types.js";
 
-/** An engine that denied its stage gets no work until the list says more, ms. */
+/**
+ * How long an engine that does not serve its listed stage gets no work, ms; an
+ * updated list with another stage ends this sooner.
+ */
 const STAGE_MISMATCH_PAUSE_MS = 2500;
 
 export class EnginePool {
   private readonly engines = new Map<string, EngineState>();
-  /** The list that was set last. */
+  /** The list from the last call of `set`. */
   private views: readonly EngineView[] | undefined;
 
   constructor(
@@ -20,8 +23,8 @@
   ) {}
 
   /**
-   * The engines that may get work; others keep what they run. The same list
-   * again, not a copy, changes nothing.
+   * Sets the engines that may be assigned work; removed engines keep their
+   * current runs. Does nothing if passed the same array object again.
    */
   set(views: readonly EngineView[]): void {
     if (views === this.views) return;
@@ -49,25 +52,25 @@
     return [...this.engines.values()];
   }
 
-  /** Those that read prompts for others. */
+  /** Prefill engines that are not suspended. */
   prefillEngines(now: number): EngineState[] {
     return this.all().filter(
       (item) => item.view.stage === "prefill" && item.suspendedUntil <= now,
     );
   }
 
-  /** Closes an engine, which changes its stage, until an instant. */
+  /** Assigns no work to an engine until the given time, e.g. during a stage change. */
   suspend(id: string, until: number): void {
     const engine = this.engines.get(id);
     if (engine !== undefined) engine.suspendedUntil = until;
   }
 
-  /** The engine does not do what the list says. */
+  /** Suspends an engine that does not serve the stage the list gives. */
   suspendForStageMismatch(id: string, now: number): void {
     this.suspend(id, now + STAGE_MISMATCH_PAUSE_MS);
   }
 
-  /** Those of `fit` that take one more request now. */
+  /** Eligible engines with a rate-limit permit for one more request now. */
   availableFor(request: PlacementRequest, now: number): EngineState[] {
     return this.eligibleFor(request, now).filter(({ view }) =>
       this.permits.mayAcquire(view.id, now),
@@ -75,9 +78,9 @@
   }
 
   /**
-   * The engines that may get the request; those that are unavailable to its
-   * process never do. Those that failed lately are left out, but for a stage
-   * that would have none: a failure is better than none of them.
+   * Engines that may be assigned the request, rate limits aside. Engines in
+   * `avoid` and `unavailable` are always excluded. Engines that back off after
+   * failures are excluded unless their stage would have no engine otherwise.
    */
   eligibleFor(
     { avoid, unavailable }: PlacementRequest,
@@ -94,7 +97,7 @@
     return [...fit, ...lastResort];
   }
 
-  /** Drops work that was never reported on; returns the number of runs. */
+  /** Drops work whose end was never reported; returns the number of runs dropped. */
   expire(now: number): number {
     return this.all().reduce((sum, engine) => sum + engine.expire(now), 0);
   }
--- a/src/scheduling/engineRuns.ts
+++ b/src/scheduling/engineRuns.ts
@@ -6,7 +6,7 @@
 
 import type { TokenTimeModel } from "./tokenTimeModel.js";
 
-/** Runs from which an engine is known to be slower, or quicker, than others. */
+/** Measured runs needed before an engine's relative time per token is used. */
 const MIN_RATIOS = 5;
 const MAX_RATIOS = 15;
 
--- a/src/scheduling/engineState.ts
+++ b/src/scheduling/engineState.ts
@@ -1,6 +1,6 @@
 /**
- * What the scheduler knows of one engine: the reads it has given out, the
- * runs, the cache and the measured pace. All times are ms of one clock.
+ * Scheduling state of one engine: outstanding prefills, runs, cached prompt
+ * parts, and measured speed. All times are ms of one clock.
  */
 import { LRUCache } from "lru-cache";
 import { median } from "simple-statistics";
@@ -12,42 +12,43 @@
 import { TokenTimeModel } from "./tokenTimeModel.js";
 import type { EngineView } from "./types.js";
 
-/** An engine that makes tokens reads at half the pace. */
+/** A decode engine prefills at half the speed of a prefill engine. */
 const DECODE_PREFILL_FACTOR = 2;
-/** Reads from which an engine is known to be slower, or quicker, than others. */
+/** Measured prefills needed before an engine's relative time is used. */
 const MIN_RATIOS = 3;
 const MAX_RATIOS = 7;
-/** Bounds of an engine's time over that of the others. */
+/** Bounds of an engine's prefill time relative to the service's other engines. */
 const MAX_RELATIVE_TIME = 20;
 const MIN_RELATIVE_TIME = 0.3;
-/** Reads that end closer behind one another are measured as one, ms. */
+/** Prefills that end within a shorter time of each other are measured as one, ms. */
 const MIN_MEASURED_MS = 4;
-/** An engine that failed gets no work for this long at first, ms. */
+/** First back-off after failures, ms; each further failure doubles it. */
 const INITIAL_BACK_OFF_MS = 700;
 export const MAX_BACK_OFF_MS = 6000;
 const FAILURES_TO_BACK_OFF = 2;
-/** Share of the memory that idle cached parts can be expected to keep. */
+/** Share of the KV memory that cached parts are expected to keep. */
 const CACHE_SHARE = 0.85;
-/** A grant nobody reported on is dropped after this, ms. */
+/** Time after which a grant without a report is dropped, ms. */
 const GRANT_TIMEOUT_MS = 6000;
-/** A read that has not ended has at least this part of its time to go. */
+/** Minimum remaining time of an unfinished prefill, as a share of its cost. */
 const MIN_REMAINING_SHARE = 0.05;
 /**
- * A read that is overdue is expected to take so many times longer as it is
- * overdue. Counted as done at its expected end, it would let a slow engine get
- * more and more that it can't serve.
+ * An overdue prefill is expected to take this multiple of its overrun longer.
+ * If it counted as done at its expected end, a slow engine would keep getting
+ * work that it can't serve.
  */
 const OVERDUE_FACTOR = 1;
 
 interface Prefill {
   work: PrefillWork;
+  /** Estimated time, ms. */
   costMs: number;
-  at: number;
+  addedAt: number;
 }
 
 interface CachedPart {
   tokens: number;
-  /** False while the read that brings it has not ended. */
+  /** False while the prefill that adds it to the cache has not ended. */
   isComplete: boolean;
 }
 
@@ -55,23 +56,23 @@
   private readonly prefills = new Map<string, Prefill>();
   readonly runs: EngineRuns;
   private readonly cache: LRUCache<string, CachedPart>;
-  /** Expected time of all reads that have not ended, ms. */
+  /** Expected time of all unfinished prefills, ms. */
   private outstandingMs = 0;
   private lastPrefillEnd = 0;
-  /** Read since the last measurement, in a time too short for one. */
+  /** Work since the last measurement, if it took too little time to measure. */
   private unmeasured: PrefillWork | undefined;
   private unmeasuredSince = 0;
-  /** Times of the last reads over those of the service's engines. */
+  /** Measured over expected times of recent prefills. */
   private readonly ratios: number[] = [];
-  /** No work before this instant: it changes its stage. */
+  /** No work before this time, e.g. because the engine changes its stage. */
   suspendedUntil = 0;
-  /** No work before this instant, where others can do it: it failed. */
+  /** Back-off after failures: no work before this time if other engines can do it. */
   private backOffUntil = 0;
   private failures = 0;
 
   constructor(
     public view: EngineView,
-    /** Of all engines of the service. */
+    /** Shared by all engines of the service. */
     private readonly model: PrefillTimeModel,
     tokenPace = new TokenTimeModel(),
   ) {
@@ -82,7 +83,7 @@
     });
   }
 
-  /** The list says this of it now; news of its stage end any doubt. */
+  /** Applies the engine's list entry. A new stage ends any suspension. */
   updateView(view: EngineView): void {
     if (view.stage !== this.view.stage) this.suspendedUntil = 0;
     this.view = view;
@@ -92,7 +93,7 @@
     return this.backOffUntil > now;
   }
 
-  /** A send to it ended well, or didn't. */
+  /** Records whether a request to the engine succeeded. Repeated failures cause a back-off. */
   recordOutcome(ok: boolean, now: number): void {
     if (ok) {
       this.failures = 0;
@@ -105,7 +106,7 @@
     this.backOffUntil = now + pause;
   }
 
-  /** It answers nothing at all: others need not find that out too. */
+  /** Starts a back-off at once, so that no further requests fail on the engine. */
   recordUnresponsive(now: number): void {
     if (this.isBackingOff(now)) return;
     this.failures = Math.max(this.failures, FAILURES_TO_BACK_OFF);
@@ -125,28 +126,28 @@
   }
 
   /**
-   * Tokens at the start of the prompt that it need not read: held, or part of
-   * a read before.
+   * Tokens at the start of the prompt that need no prefill, because they are
+   * cached or part of an earlier, unfinished prefill.
    */
   cachedTokens(parts: readonly KeyedPart[]): number {
     return this.leadingTokens(parts, () => true);
   }
 
   /**
-   * Tokens at the start of the prompt that others can take from it now. Parts
-   * that are still to be read can't be: an engine that was sent for them
-   * would read them all itself.
+   * Tokens at the start of the prompt that other engines can copy now. Pending
+   * parts are excluded: an engine sent here for them would have to prefill
+   * them all itself.
    */
   transferableTokens(parts: readonly KeyedPart[]): number {
     return this.leadingTokens(parts, ({ isComplete }) => isComplete);
   }
 
-  /** Time to read a prompt of which `cached` tokens are held, ms. */
+  /** Expected time to prefill a prompt with `cached` tokens in the cache, ms. */
   prefillCostMs(promptTokens: number, cached: number): number {
     return this.costMs(prefillWorkOf(promptTokens, cached));
   }
 
-  /** Time until it has read what it was given, ms. */
+  /** Expected time until all outstanding prefills have ended, ms. */
   backlogMs(now: number): number {
     const [first] = this.prefills.values();
     if (first === undefined) return 0;
@@ -154,22 +155,25 @@
   }
 
   addPrefill(id: string, work: PrefillWork, costMs: number, now: number): void {
-    this.prefills.set(id, { work, costMs, at: now });
+    this.prefills.set(id, { work, costMs, addedAt: now });
     this.outstandingMs += costMs;
   }
 
-  /** A read ended; what is left begins now. `isMeasure`: its time counts. */
-  endPrefill(id: string, isMeasure: boolean, now: number): void {
-    const read = this.prefills.get(id);
-    if (read === undefined) return;
+  /**
+   * Removes a prefill that has ended; the next one starts now. If `mayMeasure`,
+   * its duration updates the time estimates.
+   */
+  endPrefill(id: string, mayMeasure: boolean, now: number): void {
+    const prefill = this.prefills.get(id);
+    if (prefill === undefined) return;
     this.prefills.delete(id);
-    this.outstandingMs -= read.costMs;
-    if (isMeasure) this.measure(read, now);
+    this.outstandingMs -= prefill.costMs;
+    if (mayMeasure) this.measure(prefill, now);
     else this.unmeasured = undefined;
     this.lastPrefillEnd = now;
   }
 
-  /** It is about to read these parts, where it doesn't hold them. */
+  /** Marks the parts that are not cached as pending. */
   markPending(parts: readonly KeyedPart[]): void {
     for (const { key, tokens } of parts) {
       const known = this.cache.get(key);
@@ -178,32 +182,33 @@
     }
   }
 
-  /** It has read these parts, or taken them from another engine. */
+  /** Marks the parts as cached, after a prefill or a copy from another engine. */
   markCached(parts: readonly KeyedPart[]): void {
     for (const { key, tokens } of parts) {
       this.cache.set(key, { tokens, isComplete: true });
     }
   }
 
-  /** A read of these parts failed: those it was to bring are not there. */
+  /** Drops the pending parts among these after their prefill failed. */
   dropPending(parts: readonly KeyedPart[]): void {
     for (const { key } of parts) {
       if (this.cache.peek(key)?.isComplete === false) this.cache.delete(key);
     }
   }
 
-  /** Drops grants whose end was never reported; returns the number of runs. */
+  /** Drops grants whose end was never reported; returns the number of runs dropped. */
   expire(now: number): number {
-    for (const [id, read] of this.prefills) {
-      if (now - read.at > GRANT_TIMEOUT_MS) this.endPrefill(id, false, now);
+    for (const [id, prefill] of this.prefills) {
+      if (now - prefill.addedAt > GRANT_TIMEOUT_MS)
+        this.endPrefill(id, false, now);
     }
     return this.runs.expire(GRANT_TIMEOUT_MS, now);
   }
 
-  /** Time until the first read ends, ms. */
-  private remainingMs({ at, costMs }: Prefill, now: number): number {
-    const begun = Math.max(at, this.lastPrefillEnd);
-    const leftMs = begun + costMs - now;
+  /** Expected remaining time of the current prefill, ms. */
+  private remainingMs({ addedAt, costMs }: Prefill, now: number): number {
+    const startedAt = Math.max(addedAt, this.lastPrefillEnd);
+    const leftMs = startedAt + costMs - now;
     const leastMs = costMs * MIN_REMAINING_SHARE;
     return Math.max(leftMs, leastMs, -leftMs * OVERDUE_FACTOR);
   }
@@ -227,7 +232,7 @@
     return this.model.estimateMs(work) * this.relativeTime * stageFactor;
   }
 
-  /** Its time to read over that of the other engines. */
+  /** Prefill time relative to the service's other engines. */
   private get relativeTime(): number {
     const { ratios } = this;
     if (ratios.length < MIN_RATIOS) return 1;
@@ -238,16 +243,16 @@
   }
 
   /**
-   * An engine reads one prompt after the other, so the time since the end of
-   * the one before is this one's. Reads that end together are measured as one.
+   * An engine prefills one prompt at a time, so a prefill takes the time since
+   * the previous one ended. Prefills that end together are measured as one.
    */
-  private measure(read: Prefill, now: number): void {
-    const begun = Math.max(read.at, this.lastPrefillEnd);
-    const isAlone = read.at >= this.lastPrefillEnd;
+  private measure(prefill: Prefill, now: number): void {
+    const startedAt = Math.max(prefill.addedAt, this.lastPrefillEnd);
+    const isAlone = prefill.addedAt >= this.lastPrefillEnd;
     if (isAlone) this.unmeasured = undefined;
     const { unmeasured } = this;
-    const work = unmeasured ? addWork(unmeasured, read.work) : read.work;
-    const since = unmeasured ? this.unmeasuredSince : begun;
+    const work = unmeasured ? addWork(unmeasured, prefill.work) : prefill.work;
+    const since = unmeasured ? this.unmeasuredSince : startedAt;
     const tookMs = now - since;
     if (tookMs < MIN_MEASURED_MS && !isAlone) {
       this.unmeasured = work;
--- a/src/scheduling/permitCapacity.ts
+++ b/src/scheduling/permitCapacity.ts
@@ -1,12 +1,12 @@
-/** What engines that name a limit can take, for expected waits. Pure. */
+/** Capacity of rate-limited engines, for wait estimates. Pure. */
 import type { EnginePermits } from "../rateLimits/index.js";
 import type { EngineState } from "./engineState.js";
 
 const MS_PER_SECOND = 1000;
 
 /**
- * Engines that may be given prompts all the time; a limited one counts as the
- * part of its time that the prompts it takes would fill.
+ * Effective number of prefill engines. A rate-limited engine counts as the
+ * share of its time that the prompts it accepts would fill.
  */
 export const effectivePrefillEngines = (
   readers: readonly EngineState[],
@@ -20,7 +20,10 @@
     return sum + Math.min(1, (perS * meanPrefillMs) / MS_PER_SECOND);
   }, 0);
 
-/** Between two requests to any of these, ms; 0 where one takes all. */
+/**
+ * Mean interval between permits across these engines, ms; 0 if any of them is
+ * unlimited or there are none.
+ */
 export const permitIntervalMs = (
   engines: readonly EngineState[],
   permits: EnginePermits,
--- a/src/scheduling/prefillPlanner.ts
+++ b/src/scheduling/prefillPlanner.ts
@@ -1,41 +1,44 @@
 /**
- * Which engine reads a prompt, when it will have read it, and from which
- * engine it takes cached parts first. Pure.
+ * Chooses the engine that prefills a prompt, and the engine from which it
+ * first copies cached parts, and estimates when the prefill ends. Pure.
  */
 import type { EngineState } from "./engineState.js";
 import type { Donor, PromptCacheLookup } from "./promptCache.js";
 import type { PlacementRequest } from "./types.js";
 
-/** Weight of an engine's reading time as a cost to everybody else. */
+/** Weight of the prefill time as a cost to other requests. */
 const PREFILL_WEIGHT = 1;
 /**
- * Longest read that a decode engine does besides its runs, ms: its streams
- * pause meanwhile, and pauses beyond some 150 ms make them late.
+ * Longest prefill on a decode engine that also has runs, ms. Its streams stall
+ * meanwhile, and stalls beyond about 150 ms make them late.
  */
 const MAX_DECODE_PREFILL_MS = 60;
-/** Parts of fewer tokens are read again rather than moved. */
+/** Fewer tokens are recomputed rather than copied from another engine. */
 const MIN_DONATED_TOKENS = 512;
 /**
- * Time to take cached parts from another engine, ms. Links carry a token in
- * a tenth of a microsecond, but moves wait for each other.
+ * Fixed time to copy cached parts from another engine, ms, and time per token.
+ * Links carry a token in 0.1 microseconds, but transfers queue behind each
+ * other.
  */
 const MOVE_MS = 1;
 const MOVE_MS_PER_TOKEN = 0.0004;
 
 export interface PrefillPlan {
   engine: EngineState;
-  /** Tokens that it need not read: held, or taken from another engine. */
+  /** Tokens that need no prefill: cached, or copied from another engine. */
   cached: number;
+  /** Expected time of the prefill and of the copy from the donor, ms. */
   costMs: number;
-  /** From now until it is read, ms. */
+  /** Expected time from now until the prefill ends, ms. */
   endMs: number;
-  /** Engine to take cached parts from, if that is worth it. */
+  /** Engine to copy cached parts from, if that is worthwhile. */
   donor: EngineState | undefined;
 }
 
 /**
- * The prefill engine that has read the prompt first and at least cost.
- * `meant`: reading that engines are to be given first, ms.
+ * Chooses the prefill engine with the lowest sum of end time and weighted cost;
+ * undefined if there is none. `reserved`: prefill time on each engine that is
+ * set aside for requests further ahead in the queue, ms.
  */
 export const planPrefill = (
   request: PlacementRequest,
@@ -57,8 +60,9 @@
 };
 
 /**
- * The decode engine that is first to read the prompt itself by `limitMs`;
- * undefined if none is. `open`: those with room for the run.
+ * Chooses the decode engine that can prefill the prompt itself first;
+ * undefined if none can within `limitMs`. `open`: engines with capacity for the
+ * run; `all`: engines to copy cached parts from.
  */
 export const planDecodePrefill = (
   request: PlacementRequest,
--- a/src/scheduling/prefillTimeModel.ts
+++ b/src/scheduling/prefillTimeModel.ts
@@ -1,25 +1,26 @@
 /**
- * How long the engines of one service take to read a prompt, learnt from the
- * reads that ended: a fixed part, a part for each token, and a part for each
- * pair of tokens in attention. Pure; times are ms.
+ * Linear model of the prefill time on the engines of one service, fitted to
+ * finished prefills. Its terms are a constant, the uncached tokens, and the
+ * pairs of tokens in attention. Pure; times are ms.
  *
- * Nothing is assumed of an engine. Before the first read the objectives of
- * the routes give the order of magnitude; while reads are few, one factor is
- * learnt; then all three parts, by least squares that keeps them positive.
+ * The model assumes nothing about the engines. Before the first prefill, the
+ * latency objectives of the routes give the order of magnitude. With few
+ * samples, a single scale factor is fitted; with more, all three coefficients
+ * by non-negative least squares.
  */
 import { fcnnlsVector } from "ml-fcnnls";
 import { median } from "simple-statistics";
 
-/** What there is to read of one prompt, or of a few. */
+/** Prefill work for one or more prompts. */
 export interface PrefillWork {
   prompts: number;
-  /** Tokens that no cache holds. */
+  /** Uncached tokens. */
   tokens: number;
-  /** Pairs of one of these with any token before it, millions. */
+  /** Pairs of an uncached token with any token before it, in millions. */
   mPairs: number;
 }
 
-/** Time that reading takes, by part, ms. */
+/** Coefficients of the model, ms per prompt, per token, and per million pairs. */
 export interface PrefillCost {
   fixedMs: number;
   tokenMs: number;
@@ -32,33 +33,34 @@
 }
 
 /**
- * Part of an objective that reading a prompt is guessed to take while nothing
- * was read. An objective leaves room for a wait and the first event, so a
- * half would be the slowest that makes sense.
+ * Share of the latency objective that a prefill is assumed to take before the
+ * first sample. Objectives leave room for a wait and the first event, so one
+ * half would be the slowest plausible value.
  */
 const GUESSED_SHARE = 0.25;
-/** Reads that are kept; older ones are forgotten. */
+/** Number of most recent samples kept. */
 const MAX_SAMPLES = 160;
-/** Reads from which all parts are learnt. */
+/** Samples needed to fit all coefficients. */
 const MIN_SAMPLES = 12;
-/** What another process told weighs as much as so many own reads. */
+/** Weight of a cost from another process, in samples. */
 const RESTORED_WEIGHT = 5;
-/** The parts are learnt again after so many reads, … */
+/** Minimum number of samples between two fits. */
 const REFIT_INTERVAL = 8;
 /**
- * … and after this part of those that are kept: each eighth of many reads
- * would cost a holder much of its processor time.
+ * Minimum interval between fits as a share of the samples kept. With many
+ * samples, a fit every 8 would take much of the lease holder's CPU time.
  */
 const REFIT_SHARE = 0.25;
-/** Reads that took less, or more, than usual by this are left out. */
+/** Samples that differ from the expected time by this factor are excluded. */
 const OUTLIER_RATIO = 2.5;
-/** Fewer that are like each other say nothing of the parts. */
+/** Below this share of inliers, the coefficients are not fitted. */
 const MIN_INLIER_SHARE = 0.6;
-/** Pull of each part to what is expected, over that of the reads. */
+/** Weight of the prior on each coefficient, relative to the samples. */
 const PRIOR_WEIGHT = 0.05;
+/** Keeps a coefficient determined when its term is zero in all samples. */
 const MIN_COLUMN_NORM = 1e-9;
 const UNKNOWN_COST: PrefillCost = { fixedMs: 0, tokenMs: 1, mPairMs: 0 };
-/** Expected times below this are weighed as this, ms: hops blur them. */
+/** Lower bound of the expected time in sample weights, ms; network hops blur shorter times. */
 const MIN_WEIGHTED_MS = 5;
 
 const PAIRS_PER_M = 1e6;
@@ -98,24 +100,28 @@
 
 export class PrefillTimeModel {
   private samples: Sample[] = [];
-  /** What reads are expected to take before enough of them were seen. */
+  /** Cost assumed until there are enough samples. */
   private prior: PrefillCost | undefined;
   private learned: PrefillCost | undefined;
-  /** How many reads the basis counts as: none where it is a guess. */
+  /** Weight of the prior, in samples; 0 if it is only a guess. */
   private priorWeight = 0;
   private sinceFit = 0;
 
-  /** What is known; undefined while it is only guessed. */
+  /** The fitted or restored cost; undefined while there is only a guess. */
   get learnedCost(): PrefillCost | undefined {
     return this.learned;
   }
 
-  /** Whether enough reads were seen to judge one engine by the others. */
+  /** Whether there are enough samples to compare engines with each other. */
   get isCalibrated(): boolean {
     return this.samples.length >= MIN_SAMPLES;
   }
 
-  /** A request shows what its route is meant to hold at the most. */
+  /**
+   * Derives an upper bound of the cost per token from a request's latency
+   * objective; the lowest bound becomes the prior. Ignored once there
+   * is a sample or a restored cost.
+   */
   estimateFromObjective(objectiveMs: number, promptTokens: number): void {
     if (this.learned !== undefined || this.samples.length > 0) return;
     if (objectiveMs <= 0 || promptTokens <= 0) return;
@@ -124,7 +130,7 @@
     this.prior = { fixedMs: 0, tokenMs, mPairMs: 0 };
   }
 
-  /** What the process that places has learnt goes before own reads. */
+  /** Adopts the cost learned by the lease holder, and discards local samples. */
   restoreCost(cost: PrefillCost): void {
     if (!isUsable(cost)) return;
     this.prior = cost;
@@ -133,13 +139,13 @@
     this.samples = [];
   }
 
-  /** Expected time of the work, ms. */
+  /** Expected time of the work, ms; 0 without any estimate. */
   estimateMs(work: PrefillWork): number {
     const cost = this.learned ?? this.prior;
     return cost === undefined ? 0 : timeMs(cost, work);
   }
 
-  /** Work that kept one engine busy took so long. */
+  /** Records how long work that kept one engine busy took, ms. */
   observe(work: PrefillWork, tookMs: number): void {
     if (!(tookMs > 0) || work.tokens <= 0) return;
     this.samples.push({ work, tookMs });
@@ -147,8 +153,8 @@
     this.sinceFit += 1;
     const kept = this.samples.length;
     const isEarly = kept < MIN_SAMPLES + REFIT_INTERVAL;
-    const pause = Math.max(REFIT_INTERVAL, kept * REFIT_SHARE);
-    if (!isEarly && this.sinceFit < pause) return;
+    const interval = Math.max(REFIT_INTERVAL, kept * REFIT_SHARE);
+    if (!isEarly && this.sinceFit < interval) return;
     this.sinceFit = 0;
     this.refit();
   }
@@ -165,10 +171,10 @@
     ).fill(1);
     const rescaled = scaled(expected, median([...ratios, ...priorRatios]));
     const inliers = samples.filter((sample) => isInlier(sample, rescaled));
-    const isClear = inliers.length >= samples.length * MIN_INLIER_SHARE;
-    const isEnough = !hasFewSamples && isClear;
+    const isConsistent = inliers.length >= samples.length * MIN_INLIER_SHARE;
+    const mayFit = !hasFewSamples && isConsistent;
     this.learned =
-      (isEnough ? fitCost(inliers, rescaled) : undefined) ?? rescaled;
+      (mayFit ? fitCost(inliers, rescaled) : undefined) ?? rescaled;
   }
 }
 
@@ -177,7 +183,7 @@
   return ratio < OUTLIER_RATIO && ratio > 1 / OUTLIER_RATIO;
 };
 
-/** What each part of the time takes of the work. */
+/** Terms of the model, in the order of `PrefillCost`. */
 const termsOf = ({ prompts, tokens, mPairs }: PrefillWork): number[] => [
   prompts,
   tokens,
@@ -185,9 +191,9 @@
 ];
 
 /**
- * The parts that fit the reads best, by relative error. Reads that are all
- * alike don't tell the parts from each other: a weak pull to what is expected
- * keeps them apart. Undefined where the numbers don't settle.
+ * Non-negative least squares on the relative error; undefined if the solver
+ * fails. Similar samples leave the coefficients undetermined, so a weak prior
+ * pulls them toward the expected cost.
  */
 const fitCost = (
   samples: readonly Sample[],
@@ -201,11 +207,11 @@
   );
   const times = samples.map(({ tookMs }, at) => tookMs * (weights[at] ?? 0));
   const priorTerms = [expected.fixedMs, expected.tokenMs, expected.mPairMs];
-  for (const [at, goal] of priorTerms.entries()) {
+  for (const [at, priorMs] of priorTerms.entries()) {
     const size = Math.hypot(...rows.map((row) => row[at] ?? 0));
-    const pull = Math.max(size, MIN_COLUMN_NORM) * PRIOR_WEIGHT;
-    rows.push(priorTerms.map((_, other) => (other === at ? pull : 0)));
-    times.push(goal * pull);
+    const weight = Math.max(size, MIN_COLUMN_NORM) * PRIOR_WEIGHT;
+    rows.push(priorTerms.map((_, other) => (other === at ? weight : 0)));
+    times.push(priorMs * weight);
   }
   try {
     const { K } = fcnnlsVector(rows, times);
@@ -213,7 +219,7 @@
     const cost = { fixedMs, tokenMs, mPairMs };
     return isUsable(cost) ? cost : undefined;
   } catch {
-    // It ends by an error where it has not settled after its steps.
+    // The solver throws if it does not converge within its iteration limit.
     return undefined;
   }
 };
--- a/src/scheduling/promptCache.ts
+++ b/src/scheduling/promptCache.ts
@@ -1,11 +1,11 @@
 /**
- * How much of one prompt each engine's cache holds, looked up once an engine
- * and request: a decision asks for it several times.
+ * Looks up how much of one prompt each engine has cached. Results are memoized
+ * per engine and request, since a placement decision needs them several times.
  */
 import type { EngineState } from "./engineState.js";
 import type { CachePart, PlacementRequest } from "./types.js";
 
-/** A part of a prompt under the key by which caches know it. */
+/** A prompt part with its cache key. */
 export interface KeyedPart {
   key: string;
   tokens: number;
@@ -16,9 +16,10 @@
   tokens: part.tokens,
 });
 
-/** The engine that holds most of a prompt, and how much. */
+/** The engine that can supply the most cached tokens of a prompt. */
 export interface Donor {
   engine: EngineState;
+  /** Tokens at the start of the prompt that it holds. */
   cached: number;
 }
 
@@ -30,7 +31,7 @@
     this.parts = request.parts.map((part) => keyedPart(request.model, part));
   }
 
-  /** Tokens at the start of the prompt that the engine holds. */
+  /** Tokens at the start of the prompt that the engine need not prefill. */
   cachedTokens(engine: EngineState): number {
     const known = this.known.get(engine);
     if (known !== undefined) return known;
@@ -39,7 +40,7 @@
     return cached;
   }
 
-  /** The engine among these that holds most; undefined if none holds any. */
+  /** The engine with the most transferable tokens; undefined if none has any. */
   findDonor(engines: readonly EngineState[]): Donor | undefined {
     let best: Donor | undefined;
     for (const engine of engines) {
--- a/src/scheduling/refusals.ts
+++ b/src/scheduling/refusals.ts
@@ -1,18 +1,18 @@
-/** Why a request is refused, and when its caller may come back. Pure. */
+/** Refusals and their retry times. Pure. */
 import type { PlacementRequest, Refusal, RefusalCause } from "./types.js";
 
 /**
- * Part of its time after which a refused caller is told to come back. What
- * fills the engines outlasts shorter pauses, and a caller that is refused
- * twice is worse off; callers don't wait for longer than a third of their
- * time.
+ * Share of the remaining deadline after which a refused caller should retry.
+ * After a shorter delay the engines are often still full, and a second
+ * refusal is worse for the caller. Callers don't wait for longer than a third
+ * of their time.
  */
 const RETRY_SHARE = 0.33;
 const MIN_RETRY_MS = 200;
-/** A long answer needs the rest of its time: no pause is longer, ms. */
+/** Longest retry delay, ms; long answers need the rest of their time. */
 const MAX_RETRY_MS = 1000;
 
-/** `waitMs`: expected until it could begin, where engines are limited. */
+/** `waitMs`: expected wait until the request could start on rate-limited engines. */
 export const refuse = (
   request: PlacementRequest,
   why: RefusalCause,
--- a/src/scheduling/runPlanner.ts
+++ b/src/scheduling/runPlanner.ts
@@ -1,22 +1,22 @@
-/** Which engine makes the tokens of a request. Pure. */
+/** Chooses the engine that decodes a request. Pure. */
 import type { AnswerLength } from "./engineRuns.js";
 import type { EngineState } from "./engineState.js";
 import type { PlacementRequest } from "./types.js";
 
-/** Runs of at least this many tokens are packed. */
+/** Runs with at least this many output tokens are packed onto few engines. */
 const LONG_OUTPUT_TOKENS = 512;
 /**
- * Packed engines are filled up to this share of slots or memory: beyond it
- * each step takes so much longer that the longest streams miss their time.
+ * Share of slots or memory up to which engines are packed. Beyond it, each
+ * step takes so much longer that the longest streams miss their deadline.
  */
 const PACK_LOAD = 0.6;
-/** Cost of a certain deadline miss, in full engines. */
+/** Cost of a certain deadline miss; a full engine costs 1. */
 const MISS_WEIGHT = 2;
-/** Engines in another failure domain count as this much busier, share of slots. */
+/** Load added for engines in another failure domain, as a share of slots. */
 const CROSS_DOMAIN_COST = 0.02;
 /** Share of the KV memory that running requests may take. */
 const RUN_MEMORY_SHARE = 0.92;
-/** Reading ahead of it counts as a full engine at this much, ms. */
+/** Prefill backlog that costs as much as a full engine, ms. */
 const FULL_BACKLOG_MS = 1000;
 
 /** A run to be assigned to an engine. */
@@ -28,7 +28,7 @@
 }
 
 /**
- * The decode engine that suits the run best; undefined if all are full.
+ * Chooses the decode engine with the lowest cost; undefined if all are full.
  */
 export const chooseRunner = (
   run: PlannedRun,
@@ -46,8 +46,8 @@
 };
 
 /**
- * False if engines have room, but on each of them a long run would add more
- * than one expected deadline miss, its own included.
+ * False if some engines have capacity, but a long run would add more than one
+ * expected deadline miss on each of them, its own included.
  */
 export const isAdmissible = (
   run: PlannedRun,
@@ -68,14 +68,18 @@
   );
 };
 
-/** Whether the engine makes tokens and has room for the run. */
+/** Whether the engine is a decode engine with capacity for the run. */
 export const hasCapacity = (
   request: PlacementRequest,
   engine: EngineState,
   schedulerCount: number,
 ): boolean => loadWith(request, engine, schedulerCount) !== undefined;
 
-/** Share of slots or memory in use with the run; undefined if too much. */
+/**
+ * The larger of the share of slots in use before the run and the share of
+ * memory in use with it. Undefined if the run does not fit; a run larger than
+ * the memory fits on an idle engine.
+ */
 const loadWith = (
   request: PlacementRequest,
   engine: EngineState,
@@ -93,10 +97,10 @@
 };
 
 /**
- * Short runs go to the least loaded engine. Long ones fill one engine after
- * the other, so that the rest can change their stage without a wait, and
- * read without slowing streams. An engine costs more the more likely the run
- * is to miss its deadline there.
+ * Cost of placing a run on an engine. Short runs go to the least loaded engine.
+ * Long runs fill one engine after another, so that the others can change their
+ * stage without waiting, and can prefill without slowing streams. The cost
+ * grows with the probability that the run misses its deadline there.
  */
 const costOf = (
   { request, length }: PlannedRun,
--- a/src/scheduling/runTimeEstimator.ts
+++ b/src/scheduling/runTimeEstimator.ts
@@ -1,12 +1,13 @@
-/** How long runs of one service take by their tokens. Pure; times are ms. */
+/** Estimates the duration of a run from its output tokens. Pure; times are ms. */
 import { FadingSum } from "../shared/fadingSum.js";
 
-/** Time constant of the pace, ms: longer than the longest runs. */
+/** Time constant of the average, ms; longer than the longest runs. */
 const TIME_CONSTANT_MS = 20_000;
 
 export class RunTimeEstimator {
-  /** Time that ended runs took from grant to end, and their tokens. */
+  /** Time from grant to end of finished runs, ms. */
   private readonly runMs = new FadingSum(TIME_CONSTANT_MS);
+  /** Estimated output tokens of the same runs. */
   private readonly tokens = new FadingSum(TIME_CONSTANT_MS);
 
   observe(outputTokens: number, tookMs: number, now: number): void {
@@ -14,7 +15,7 @@
     this.tokens.add(outputTokens, now);
   }
 
-  /** Expected time of a run, ms; 0 while none has ended. */
+  /** Expected duration of a run, ms; 0 until the first run has ended. */
   estimateMs(outputTokens: number, now: number): number {
     const tokens = this.tokens.rate(now);
     if (tokens <= 0) return 0;
--- a/src/scheduling/sizeFairness.ts
+++ b/src/scheduling/sizeFairness.ts
@@ -1,21 +1,21 @@
 /**
- * Whether the large requests of a route are served about as often as the
- * rest. Long prompts rarely fit the objective in a burst; without this they
- * would hardly be served at all. Pure.
+ * Tracks whether the large requests of a route are served about as often as
+ * the others. In a burst, long prompts rarely meet the latency objective, so
+ * without this check they would hardly be served at all. Pure.
  */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 
-/** Percentiles of size at which the two groups of large requests begin. */
+/** Size percentiles at which the "large" and "largest" groups start. */
 const LARGE_PERCENTILE = 70;
 const LARGEST_PERCENTILE = 90;
-/** A group lags that is served less than this times as often as all. */
+/** A group is underserved if its served share is below this fraction of the route's. */
 const UNDERSERVED_RATIO = 0.7;
-/** Requests after which the bounds of the groups are looked up again. */
+/** Number of requests after which the bounds of the groups are updated. */
 const BOUNDS_INTERVAL = 20;
-/** Sizes that are needed before groups mean anything. */
+/** Recorded sizes needed before requests are grouped. */
 const MIN_SIZES = 40;
-/** Counts are halved when so many requests of a route were counted. */
+/** Counts are halved when a route reaches this number of requests. */
 const MAX_COUNTED_REQUESTS = 1500;
 const MAX_ROUTES = 256;
 
@@ -36,7 +36,7 @@
     highestTrackableValue: 1_000_000,
     numberOfSignificantValueDigits: 2,
   });
-  /** Sizes at which the groups begin. */
+  /** Smallest sizes of the groups. */
   private largestFrom = Infinity;
   private largeFrom = Infinity;
   private readonly all = newCount();
@@ -52,7 +52,7 @@
     return size >= this.largeFrom ? "large" : "rest";
   }
 
-  /** Percentiles are dear to look up, and move slowly. */
+  /** Percentiles are expensive to look up and change slowly, so bounds are cached. */
   private record(size: number): void {
     const { sizes } = this;
     sizes.recordValue(Math.max(1, Math.round(size)));
@@ -93,7 +93,7 @@
 export class SizeFairness {
   private readonly routes = new Map<string, RouteSizes>();
 
-  /** Whether requests of this size lag behind the rest of their route. */
+  /** Whether requests of this size are served less often than their route overall. */
   isUnderserved(route: string, size: number): boolean {
     const sizes = this.routes.get(route);
     return sizes !== undefined && sizes.isUnderserved(sizes.groupOf(size));
--- a/src/scheduling/stageDemand.ts
+++ b/src/scheduling/stageDemand.ts
@@ -1,6 +1,6 @@
 /**
- * What reading and runs have asked of the engines of one service lately, for
- * the planner of stages. Pure; times are ms.
+ * Recent prefill and decode demand on the engines of one service, as input for
+ * the stage planner. Pure; times are ms.
  */
 import type { EngineState } from "./engineState.js";
 import { NO_DEMAND } from "./demandTotals.js";
@@ -9,15 +9,14 @@
 /** Time constant of the smoothed demand, ms. */
 const SMOOTHING_MS = 1200;
 /**
- * How long a peak is remembered: halves in this time, ms. Engines have to
- * stand ready for a burst of either kind before it comes back; what was needed
- * a minute ago is likely to be. Forgotten sooner, swings of some seconds are
- * followed, and engines are on their way when the burst that they are meant for
- * comes.
+ * Half-life of a peak, ms. Engines have to be ready before a burst of either
+ * kind returns, and what was needed a minute ago is likely to be needed again.
+ * With a shorter half-life the planner follows swings of a few seconds, and
+ * engines are still changing their stage when the burst arrives.
  */
 const PEAK_HALF_LIFE_MS = 60_000;
 
-/** A rate that follows what is asked for, and its fading peak. */
+/** Exponentially smoothed rate, and its decaying peak. */
 class SmoothedPeak {
   private mean = 0;
   peak = 0;
@@ -27,7 +26,7 @@
     this.raisePeak(this.mean, spanMs);
   }
 
-  /** Lifts the peak to a value that was seen. */
+  /** Decays the peak over `spanMs`, and raises it to an observed value. */
   raisePeak(value: number, spanMs: number): void {
     const fade = 0.5 ** (spanMs / PEAK_HALF_LIFE_MS);
     this.peak = Math.max(value, this.peak * fade);
@@ -42,46 +41,46 @@
   private readonly runs = new SmoothedPeak();
   private readonly runTokens = new SmoothedPeak();
 
-  /** Takes in what was asked for since the last call, and what runs now. */
+  /** Adds the demand since the last call, and the current runs. */
   measure(
-    asked: DemandTotals,
+    totals: DemandTotals,
     engines: readonly EngineState[],
     now: number,
   ): void {
     const spanMs = now - (this.lastAt ?? now);
     const { last } = this;
-    this.last = { ...asked };
+    this.last = { ...totals };
     this.lastAt = now;
     if (spanMs <= 0) return;
-    this.prefill.measure((asked.prefillMs - last.prefillMs) / spanMs, spanMs);
+    this.prefill.measure((totals.prefillMs - last.prefillMs) / spanMs, spanMs);
     this.decodePrefill.measure(
-      (asked.decodePrefillMs - last.decodePrefillMs) / spanMs,
+      (totals.decodePrefillMs - last.decodePrefillMs) / spanMs,
       spanMs,
     );
-    this.runs.measure((asked.runMs - last.runMs) / spanMs, spanMs);
-    const tokens = (asked.runTokenMs - last.runTokenMs) / spanMs;
+    this.runs.measure((totals.runMs - last.runMs) / spanMs, spanMs);
+    const tokens = (totals.runTokenMs - last.runTokenMs) / spanMs;
     this.runTokens.measure(tokens, spanMs);
     const { runCount, runTokens } = totalOf(engines);
     this.runs.raisePeak(runCount, 0);
     this.runTokens.raisePeak(runTokens, 0);
   }
 
-  /** Reading asked for, in engines that do nothing else. */
+  /** Peak prefill demand, in engines fully occupied by prefill. */
   get prefillEngines(): number {
     return this.prefill.peak;
   }
 
-  /** Reading by engines that make tokens, in such engines. */
+  /** Peak prefill demand on decode engines, in engines fully occupied by it. */
   get decodePrefillEngines(): number {
     return this.decodePrefill.peak;
   }
 
-  /** Most runs at once, seen or to be expected. */
+  /** Peak number of concurrent runs, observed or estimated. */
   get peakRuns(): number {
     return this.runs.peak;
   }
 
-  /** Most tokens of runs at once, seen or to be expected. */
+  /** Peak number of tokens of concurrent runs, observed or estimated. */
   get peakRunTokens(): number {
     return this.runTokens.peak;
   }
--- a/src/scheduling/stagePlanner.ts
+++ b/src/scheduling/stagePlanner.ts
@@ -1,12 +1,12 @@
 /**
- * How many engines of a service should read prompts and how many make
- * tokens. Pure. The mix turns within seconds, and a change takes an engine
- * away for about as long, so that engines have to stand ready before they are
- * needed: what no stage needs now is divided in proportion to the needs.
+ * Plans how many engines of a service serve prefill and how many serve decode.
+ * Pure. The mix of work shifts within seconds, and a stage change makes an
+ * engine unavailable for about as long, so engines have to be ready before they
+ * are needed. Spare engines are therefore divided in proportion to the needs.
  */
 import type { Stage } from "./types.js";
 
-/** One engine as the planner sees it. */
+/** State of one engine as input for the planner. */
 export interface PlannedEngine {
   id: string;
   stage: Stage;
@@ -14,20 +14,20 @@
   runTokens: number;
   slots: number;
   kvCapacityTokens: number;
-  /** Set while a change to that stage is under way. */
+  /** Target stage while a change is in progress. */
   changingTo: Stage | undefined;
 }
 
 export interface StagePlanInput {
   engines: readonly PlannedEngine[];
-  /** Reading asked for, in engines that do nothing else; smoothed. */
+  /** Prefill demand, in engines fully occupied by prefill; smoothed. */
   prefillDemand: number;
-  /** Reading by engines that make tokens, in such engines; smoothed. */
+  /** Prefill demand on decode engines, in engines fully occupied by it; smoothed. */
   decodePrefillDemand: number;
-  /** Most runs, and tokens of runs, at once over the last seconds. */
+  /** Recent peaks of concurrent runs and of their tokens. */
   peakRuns: number;
   peakRunTokens: number;
-  /** Since the last change the other way, ms. */
+  /** Time since the last change to each stage, ms. */
   sinceChangeToPrefillMs: number;
   sinceChangeToDecodeMs: number;
 }
@@ -38,64 +38,66 @@
   why: string;
 }
 
-/** Part of the slots and memory of decode engines that runs should take. */
+/** Target share of the slots and memory of decode engines that runs use. */
 const TARGET_RUN_USAGE = 0.75;
-/** Part of an engine's time that reading should take. */
+/** Target share of a prefill engine's time spent on prefill. */
 const TARGET_PREFILL_USAGE = 0.85;
-/** Part of the time of engines that make tokens that reading should take. */
+/** Target share of a decode engine's time spent on prefill. */
 const TARGET_DECODE_PREFILL_USAGE = 0.4;
 /**
- * Engines of each stage at least, share of all: what is left of a stage after
- * a loss must bear a mix that has just turned.
+ * Minimum share of all engines in each stage. After a loss of engines, the rest
+ * of a stage must still carry the load when the mix has just shifted.
  */
 const MIN_STAGE_SHARE = 0.3;
-/** Changes under way at once, share of all engines. */
+/** Maximum share of all engines with a change in progress. */
 const MAX_CHANGING_SHARE = 0.5;
 /**
- * No change back sooner than this after a change, ms. A change takes an
- * engine away for some three seconds, and mixes swing as quickly: following
- * each swing costs more than it gives.
+ * Minimum time between a change and one in the opposite direction, ms. A change
+ * makes an engine unavailable for about three seconds, and the mix swings as
+ * quickly, so following every swing costs more than it gains.
  */
 const MIN_DWELL_MS = 8000;
-/** Engines by which a split must be off before nothing lacks, share of all. */
+/**
+ * Minimum deviation from the target split, as a share of all engines, that
+ * causes a change while both stages have enough engines.
+ */
 const MIN_IMBALANCE_SHARE = 0.1;
 /**
- * Engines, share of all, that both stages together count as needing besides
- * what was seen, half each. Until anything was seen, half of the engines of
- * each stage bear the most; the first requests of one kind say nothing of
- * the other.
+ * Need added to the measured needs, half to each stage, as a share of all
+ * engines. Before any measurement an even split carries the most, and the first
+ * requests of one kind say nothing about the demand for the other.
  */
 const BASELINE_SHARE = 0.1;
-/** Readers, share of all, while nothing is known of the mix. */
+/** Share of prefill engines while the mix is unknown. */
 const DEFAULT_PREFILL_SHARE = 0.5;
-/** Needs below this, share of all engines, say nothing of the mix. */
+/** Total need, as a share of all engines, below which the mix is unknown. */
 const MIN_KNOWN_SHARE = 0.1;
 
 const countOf = (engines: readonly PlannedEngine[], stage: Stage): number =>
   engines.filter((item) => (item.changingTo ?? item.stage) === stage).length;
 
-/** Engines that each stage needs now; fractions where that is so. */
+/** Number of engines that each stage needs now; may be fractional. */
 interface Needs {
   prefill: number;
   decode: number;
 }
 
-const needsOf = (question: StagePlanInput): Needs => {
-  const { engines, peakRuns, peakRunTokens } = question;
+const needsOf = (input: StagePlanInput): Needs => {
+  const { engines, peakRuns, peakRunTokens } = input;
   const [first] = engines;
   if (first === undefined) return { prefill: 0, decode: 0 };
   const bySlots = peakRuns / (first.slots * TARGET_RUN_USAGE);
   const byMemory = peakRunTokens / (first.kvCapacityTokens * TARGET_RUN_USAGE);
-  const byReading = question.decodePrefillDemand / TARGET_DECODE_PREFILL_USAGE;
+  const byReading = input.decodePrefillDemand / TARGET_DECODE_PREFILL_USAGE;
   return {
-    prefill: question.prefillDemand / TARGET_PREFILL_USAGE,
+    prefill: input.prefillDemand / TARGET_PREFILL_USAGE,
     decode: Math.max(bySlots, byMemory, byReading),
   };
 };
 
 /**
- * Engines that should read: both stages get the same multiple of their need,
- * so that either can bear as large a burst, or the loss of as many engines.
+ * Target number of prefill engines. Both stages get the same multiple of their
+ * need, so that each can absorb an equally large burst or loss of engines.
  */
 const prefillTarget = ({ prefill, decode }: Needs, all: number): number => {
   const least = Math.max(1, Math.ceil(all * MIN_STAGE_SHARE));
@@ -107,13 +109,11 @@
   return Math.min(all - least, Math.max(least, Math.round(all * share)));
 };
 
-/** At most one change. */
-export const planStages = (
-  question: StagePlanInput,
-): StageChange | undefined => {
-  const { engines } = question;
+/** Plans at most one stage change; undefined if none is due. */
+export const planStages = (input: StagePlanInput): StageChange | undefined => {
+  const { engines } = input;
   const all = engines.length;
-  const needs = needsOf(question);
+  const needs = needsOf(input);
   const changing = engines.filter((item) => item.changingTo !== undefined);
   const mostChanging = Math.max(1, Math.floor(all * MAX_CHANGING_SHARE));
   if (changing.length >= mostChanging) return undefined;
@@ -132,26 +132,26 @@
   const lacksPrefill = needs.prefill > prefill;
   const lacksDecode = needs.decode > decode;
   if (target - prefill >= (lacksPrefill ? 1 : minImbalance)) {
-    const isSoon = question.sinceChangeToDecodeMs < MIN_DWELL_MS;
-    if (isSoon || !isSpare.decode) return undefined;
+    const isTooSoon = input.sinceChangeToDecodeMs < MIN_DWELL_MS;
+    if (isTooSoon || !isSpare.decode) return undefined;
     return changeLeastLoaded(engines, "prefill", why);
   }
   if (prefill - target >= (lacksDecode ? 1 : minImbalance)) {
-    const isSoon = question.sinceChangeToPrefillMs < MIN_DWELL_MS;
-    if (isSoon || !isSpare.prefill) return undefined;
+    const isTooSoon = input.sinceChangeToPrefillMs < MIN_DWELL_MS;
+    if (isTooSoon || !isSpare.prefill) return undefined;
     return changeLeastLoaded(engines, "decode", why);
   }
   return undefined;
 };
 
-/** The engine with the least to finish changes. */
+/** Changes the engine with the fewest tokens in its runs. */
 const changeLeastLoaded = (
   engines: readonly PlannedEngine[],
   to: Stage,
   why: string,
 ): StageChange | undefined => {
-  const idlest = engines
+  const leastLoaded = engines
     .filter((item) => item.stage !== to && item.changingTo === undefined)
     .sort((a, b) => a.runTokens - b.runTokens)[0];
-  return idlest && { id: idlest.id, to, why };
+  return leastLoaded && { id: leastLoaded.id, to, why };
 };
--- a/src/scheduling/types.ts
+++ b/src/scheduling/types.ts
@@ -1,73 +1,74 @@
-/** Events and answers of the scheduler of model engines. */
+/** Requests, answers and events of the scheduler for model engines. */
 
 export const STAGES = ["prefill", "decode"] as const;
 
-/** What an engine does: reads prompts, or makes tokens. */
+/** Work that an engine does: prefill (read prompts) or decode (generate tokens). */
 export type Stage = (typeof STAGES)[number];
 
-/** One engine that may get work. */
+/** An engine that may be assigned work. */
 export interface EngineView {
   id: string;
-  /** Failure domain that it stands in. */
+  /** Failure domain that the engine runs in. */
   domain: string;
   stage: Stage;
   slots: number;
   kvCapacityTokens: number;
 }
 
-/** A part of a prompt that the cache of an engine may hold. */
+/** A part of a prompt that an engine may hold in its KV cache. */
 export interface CachePart {
   id: string;
   tokens: number;
 }
 
-/** A part that an engine says it holds. */
+/** A prompt part that an engine reports as cached. */
 export interface HeldPart extends CachePart {
   model: string;
 }
 
-/** One request that wants engines. Times are in ms. */
+/** A request to be placed on engines. Times are in ms. */
 export interface PlacementRequest {
-  /** Unique among the requests of all entries. */
+  /** Unique across all entry processes. */
   id: string;
   service: string;
-  /** Requests of one route are of one kind. */
+  /** Requests of one route are assumed similar; statistics are kept per route. */
   route: string;
   domain: string;
   model: string;
   promptTokens: number;
-  /** The caller's estimate, or the upper limit if it gave none. */
+  /** The caller's estimate of the output tokens, or `mostOutputTokens` if absent. */
   outputTokens: number;
-  /** Upper limit of the output tokens. */
+  /** Maximum number of output tokens. */
   mostOutputTokens: number;
   parts: CachePart[];
-  /** Left until the first event is too late to be in time. */
+  /** Time left until the first event misses the latency objective. */
   objectiveLeftMs: number;
-  /** Left until the caller gives up if it has seen nothing. */
+  /** Time left until the caller gives up if it has received no event. */
   deadlineLeftMs: number;
-  /** Time left until the caller abandons an answer that has begun. */
+  /** Time left until the caller abandons an answer that has started. */
   answerLeftMs: number;
   /** 0 is the most urgent. */
   priority: number;
-  /** Came back after a refusal. */
+  /** The caller sent the request again after a refusal. */
   isReturn: boolean;
-  /** Engines that refused or failed this request. */
+  /** Engines that rejected or failed this request. */
   avoid: string[];
-  /** Engines that want nothing from the process that asks, for now. */
+  /** Engines that currently accept no work from the requesting process. */
   unavailable: string[];
 }
 
-/** Where a request goes. */
+/** The engines assigned to a request. */
 export interface Grant {
   kind: "granted";
-  /** Engine that reads the prompt for the runner; absent: the runner. */
+  /** Engine that prefills the prompt; undefined if the runner does. */
   reader: string | undefined;
+  /** Engine that decodes: it generates the output tokens. */
   runner: string;
-  /** Engine from which the one that reads takes cached parts first. */
+  /** Engine from which the prefilling engine first copies cached parts. */
   donor: string | undefined;
-  /** Expected time from now to the end of the read, ms. */
+  /** Expected time from now to the end of the prefill, ms. */
   readMs: number;
-  /** Time from the holder's receipt of the request to the grant, ms. */
+  /** Time from the lease holder's receipt of the request to the grant, ms. */
   waitedMs: number;
   /** Upper bound on the time since the grant was issued, ms. */
   ageMs: number;
@@ -81,13 +82,14 @@
 ] as const;
 
 /**
- * `no-engine`: none of a stage may get work; `limited`: all of a stage take
- * no more for a moment; `slots`: all that make tokens are full; `too-late`:
- * its turn would not come soon enough.
+ * `no-engine`: no engine of one stage may be assigned work; `limited`: all
+ * eligible engines of one stage are at their rate limit for the moment;
+ * `slots`: all decode engines are full; `too-late`: the expected wait is too
+ * long.
  */
 export type RefusalCause = (typeof REFUSAL_CAUSES)[number];
 
-/** It waits for an engine; its answer comes later. */
+/** The request waits for an engine; its answer follows later. */
 export interface Queued {
   kind: "queued";
 }
@@ -95,39 +97,39 @@
 export interface Refusal {
   kind: "refused";
   why: RefusalCause;
-  /** When there may be room, ms from now. */
+  /** Time after which the caller should retry, ms from now. */
   retryAfterMs: number;
 }
 
 export type PlacementAnswer = Grant | Refusal;
 
-/** What an entry relayed of one run. */
+/** The stream that an entry process relayed for one run. */
 export interface StreamResult {
   events: number;
-  /** From the first event to the last, ms. */
+  /** Time from the first event to the last, ms. */
   tookMs: number;
   /** Whether the caller did not receive the complete answer. */
   isCut: boolean;
 }
 
-/** What became of a granted request. */
+/** Progress report on a granted request. */
 export type PlacementEvent =
-  /** The reader has read the prompt, or failed to. */
+  /** The reader finished the prefill, or failed. */
   | { kind: "read"; id: string; ok: boolean }
-  /** An engine does not do what its stage says: known too late. */
+  /** An engine does not serve its listed stage; the list is out of date. */
   | { kind: "wrong-stage"; id: string; engine: string }
-  /** An engine wanted no work from the process that sent it. */
+  /** An engine accepted no work from the sending process. */
   | { kind: "rejected"; id: string }
-  /** An engine says that it leaves. */
+  /** An engine announced that it is shutting down. */
   | { kind: "leaving"; id: string; engine: string }
-  /** An engine answers nothing, not even what it does. */
+  /** An engine is unresponsive: it does not even answer status requests. */
   | { kind: "silent"; id: string; engine: string }
-  /** The runner has read the prompt itself and sent the first event. */
+  /** The runner prefilled the prompt itself and sent the first event. */
   | { kind: "begun"; id: string }
   /**
-   * Nothing of it is at any engine any more. The first event came
-   * `firstEventMs` after the send to the runner; 0 if none came. `stream` is
-   * absent if the runner produced no events.
+   * No engine has work for the request any more. `firstEventMs` is the time
+   * from the send to the runner to the first event; 0 if none came. `stream`
+   * is absent if the runner produced no events.
    */
   | {
       kind: "ended";
