--- a/src/scheduling/demandTotals.ts
+++ b/src/scheduling/demandTotals.ts
@@ -2,7 +2,9 @@
 export interface DemandTotals {
   /** Prefill time on a single prefill engine, refused requests included, ms. */
   prefillMs: number;
-  /** Time for short uncached prompt remainders prefilled by decode engines, ms. */
+  /**
+   * Time for short uncached prompt remainders prefilled by decode engines, ms.
+   */
   decodePrefillMs: number;
   /**
    * Estimated slot time of runs, ms, from their output tokens. The number of
--- a/src/scheduling/enginePool.ts
+++ b/src/scheduling/enginePool.ts
@@ -59,7 +59,10 @@
     );
   }
 
-  /** Assigns no work to an engine until the given time, e.g. during a stage change. */
+  /**
+   * Assigns no work to an engine until the given time, e.g. during a stage
+   * change.
+   */
   suspend(id: string, until: number): void {
     const engine = this.engines.get(id);
     if (engine !== undefined) engine.suspendedUntil = until;
@@ -97,7 +100,10 @@
     return [...fit, ...lastResort];
   }
 
-  /** Drops work whose end was never reported; returns the number of runs dropped. */
+  /**
+   * Drops work whose end was never reported; returns the number of runs
+   * dropped.
+   */
   expire(now: number): number {
     return this.all().reduce((sum, engine) => sum + engine.expire(now), 0);
   }
--- a/src/scheduling/engineState.ts
+++ b/src/scheduling/engineState.ts
@@ -17,10 +17,15 @@
 /** Measured prefills needed before an engine's relative time is used. */
 const MIN_RATIOS = 3;
 const MAX_RATIOS = 7;
-/** Bounds of an engine's prefill time relative to the service's other engines. */
+/**
+ * Bounds of an engine's prefill time relative to the service's other engines.
+ */
 const MAX_RELATIVE_TIME = 20;
 const MIN_RELATIVE_TIME = 0.3;
-/** Prefills that end within a shorter time of each other are measured as one, ms. */
+/**
+ * Prefills that end within a shorter time of each other are measured as one,
+ * ms.
+ */
 const MIN_MEASURED_MS = 4;
 /** First back-off after failures, ms; each further failure doubles it. */
 const INITIAL_BACK_OFF_MS = 700;
@@ -66,7 +71,10 @@
   private readonly ratios: number[] = [];
   /** No work before this time, e.g. because the engine changes its stage. */
   suspendedUntil = 0;
-  /** Back-off after failures: no work before this time if other engines can do it. */
+  /**
+   * Back-off after failures: no work before this time if other engines can do
+   * it.
+   */
   private backOffUntil = 0;
   private failures = 0;
 
@@ -93,7 +101,10 @@
     return this.backOffUntil > now;
   }
 
-  /** Records whether a request to the engine succeeded. Repeated failures cause a back-off. */
+  /**
+   * Records whether a request to the engine succeeded. Repeated failures cause
+   * a back-off.
+   */
   recordOutcome(ok: boolean, now: number): void {
     if (ok) {
       this.failures = 0;
@@ -106,7 +117,9 @@
     this.backOffUntil = now + pause;
   }
 
-  /** Starts a back-off at once, so that no further requests fail on the engine. */
+  /**
+   * Starts a back-off at once, so that no further requests fail on the engine.
+   */
   recordUnresponsive(now: number): void {
     if (this.isBackingOff(now)) return;
     this.failures = Math.max(this.failures, FAILURES_TO_BACK_OFF);
@@ -142,7 +155,9 @@
     return this.leadingTokens(parts, ({ isComplete }) => isComplete);
   }
 
-  /** Expected time to prefill a prompt with `cached` tokens in the cache, ms. */
+  /**
+   * Expected time to prefill a prompt with `cached` tokens in the cache, ms.
+   */
   prefillCostMs(promptTokens: number, cached: number): number {
     return this.costMs(prefillWorkOf(promptTokens, cached));
   }
@@ -182,7 +197,9 @@
     }
   }
 
-  /** Marks the parts as cached, after a prefill or a copy from another engine. */
+  /**
+   * Marks the parts as cached, after a prefill or a copy from another engine.
+   */
   markCached(parts: readonly KeyedPart[]): void {
     for (const { key, tokens } of parts) {
       this.cache.set(key, { tokens, isComplete: true });
@@ -196,7 +213,10 @@
     }
   }
 
-  /** Drops grants whose end was never reported; returns the number of runs dropped. */
+  /**
+   * Drops grants whose end was never reported; returns the number of runs
+   * dropped.
+   */
   expire(now: number): number {
     for (const [id, prefill] of this.prefills) {
       if (now - prefill.addedAt > GRANT_TIMEOUT_MS)
--- a/src/scheduling/placedRequests.ts
+++ b/src/scheduling/placedRequests.ts
@@ -1,6 +1,6 @@
 /**
- * The requests that are at engines: what they take there, and what is learnt
- * from the reports on them. Pure; times are ms.
+ * Tracks the requests placed on engines: the capacity they use, and the
+ * statistics learned from reports on them. Pure; times are ms.
  */
 import { LRUCache } from "lru-cache";
 
@@ -18,20 +18,23 @@
   StreamResult,
 } from "./types.js";
 
+/** Weight of a new value in the running mean of first-event times. */
 const FIRST_EVENT_GAIN = 0.05;
 /** Time constant of the rate of runs that end, ms. */
 const RATE_TIME_CONSTANT_MS = 1000;
 
 /** Share of the remaining time that an answer is planned to take at most. */
 const DEADLINE_SHARE = 0.95;
-/** Shorter streams are too noisy to measure the pace. */
+/** Streams with fewer events are too noisy to measure the time per token. */
 const MIN_MEASURED_EVENTS = 10;
 const MAX_ROUTES = 256;
 const DEFAULT_LENGTHS = new AnswerLengths();
 
-/** Where a request is. */
+/** The engines that a request uses. */
 export interface Assignment {
-  /** Absent where the runner reads the prompt, or it was read before. */
+  /**
+   * Undefined if the runner prefills the prompt, or it is already prefilled.
+   */
   reader: EngineState | undefined;
   runner: EngineState;
   parts: readonly KeyedPart[];
@@ -40,7 +43,7 @@
 interface Placed extends Assignment {
   grantedAt: number;
   request: PlacementRequest;
-  /** Instant after which its end will not be reported any more, ms. */
+  /** Time after which no report on the request is expected, ms. */
   expiresAt: number;
 }
 
@@ -57,25 +60,25 @@
   private readonly firstEvent = new RunningMean(FIRST_EVENT_GAIN);
   private readonly runEnds = new FadingSum(RATE_TIME_CONSTANT_MS);
   readonly runTimes = new RunTimeEstimator();
-  /** By route. */
+  /** Answer lengths by route. */
   private readonly lengths = new LRUCache<string, AnswerLengths>({
     max: MAX_ROUTES,
   });
 
   /**
-   * `onUnserved` is called for each answer that ended before its caller had
+   * `onIncomplete` is called for each answer that ended before its caller had
    * received all of it, unless the engine failed.
    */
   constructor(
     private readonly onIncomplete: (request: PlacementRequest) => void,
   ) {}
 
-  /** From the send to a runner to the first event, ms. */
+  /** Mean time from the send to a runner to the first event, ms. */
   get firstEventMs(): number {
     return this.firstEvent.value;
   }
 
-  /** Runs that end in a ms. */
+  /** Rate at which runs end, per ms. */
   endRate(now: number): number {
     return this.runEnds.rate(now);
   }
@@ -84,7 +87,7 @@
     return this.placed.has(id);
   }
 
-  /** It takes room at the runner from now on. */
+  /** Adds a request, which uses capacity of its runner from now on. */
   add(request: PlacementRequest, at: Assignment, now: number): void {
     const { id, promptTokens, outputTokens, answerLeftMs } = request;
     const tokens = promptTokens + outputTokens;
@@ -95,6 +98,7 @@
     this.placed.set(id, { ...at, grantedAt: now, request, expiresAt: lostAt });
   }
 
+  /** Estimated answer length of a request, from the history of its route. */
   lengthOf(request: PlacementRequest): AnswerLength {
     const { outputTokens, mostOutputTokens, answerLeftMs, route } = request;
     const { steepness } = this.lengths.get(route) ?? DEFAULT_LENGTHS;
@@ -107,8 +111,8 @@
   }
 
   /**
-   * `isMeasure`: the times of reads count, since nobody else places on these
-   * engines.
+   * Applies a report. `mayMeasure`: durations update the time estimates, since
+   * no other scheduler places on these engines.
    */
   onEvent(event: RequestEvent, mayMeasure: boolean, now: number): void {
     const placed = this.placed.get(event.id);
@@ -134,7 +138,7 @@
     }
   }
 
-  /** Drops what was never reported on. */
+  /** Drops requests whose end was never reported. */
   expire(now: number): void {
     for (const [id, { expiresAt: lostAt }] of this.placed) {
       if (now > lostAt) this.placed.delete(id);
@@ -142,8 +146,8 @@
   }
 
   /**
-   * An engine wanted no work: nothing was read or run there, and that says
-   * nothing of its health or pace.
+   * Removes a request that an engine rejected. Nothing was prefilled or run, so
+   * this says nothing about the engine's health or speed.
    */
   private release(id: string, placed: Placed, now: number): void {
     const { reader, runner, parts } = placed;
@@ -158,13 +162,13 @@
   private end(
     { id, ok, firstEventMs, stream }: EndedEvent,
     placed: Placed,
-    isMeasure: boolean,
+    mayMeasure: boolean,
     now: number,
   ): void {
     const { reader, runner, parts } = placed;
     this.placed.delete(id);
     if (stream !== undefined) {
-      this.recordStream(id, placed, stream, isMeasure, now);
+      this.recordStream(id, placed, stream, mayMeasure, now);
       if (ok && stream.isCut) this.onIncomplete(placed.request);
     }
     reader?.endPrefill(id, false, now);
@@ -183,7 +187,7 @@
     id: string,
     { request, runner }: Placed,
     { events, tookMs }: StreamResult,
-    isMeasure: boolean,
+    mayMeasure: boolean,
     now: number,
   ): void {
     const { route, outputTokens } = request;
@@ -191,7 +195,7 @@
     this.lengths.set(route, lengths);
     lengths.observe(outputTokens, events);
     const { tokensPerEvent } = lengths;
-    if (tokensPerEvent === undefined || !isMeasure) return;
+    if (tokensPerEvent === undefined || !mayMeasure) return;
     if (events < MIN_MEASURED_EVENTS) return;
     const tokens = (events - 1) * tokensPerEvent;
     runner.runs.recordTokenMs(id, tookMs / tokens, now);
--- a/src/scheduling/prefillTimeModel.ts
+++ b/src/scheduling/prefillTimeModel.ts
@@ -20,7 +20,9 @@
   mPairs: number;
 }
 
-/** Coefficients of the model, ms per prompt, per token, and per million pairs. */
+/**
+ * Coefficients of the model, ms per prompt, per token, and per million pairs.
+ */
 export interface PrefillCost {
   fixedMs: number;
   tokenMs: number;
@@ -60,7 +62,10 @@
 /** Keeps a coefficient determined when its term is zero in all samples. */
 const MIN_COLUMN_NORM = 1e-9;
 const UNKNOWN_COST: PrefillCost = { fixedMs: 0, tokenMs: 1, mPairMs: 0 };
-/** Lower bound of the expected time in sample weights, ms; network hops blur shorter times. */
+/**
+ * Lower bound of the expected time in sample weights, ms; network hops blur
+ * shorter times.
+ */
 const MIN_WEIGHTED_MS = 5;
 
 const PAIRS_PER_M = 1e6;
@@ -130,7 +135,9 @@
     this.prior = { fixedMs: 0, tokenMs, mPairMs: 0 };
   }
 
-  /** Adopts the cost learned by the lease holder, and discards local samples. */
+  /**
+   * Adopts the cost learned by the lease holder, and discards local samples.
+   */
   restoreCost(cost: PrefillCost): void {
     if (!isUsable(cost)) return;
     this.prior = cost;
--- a/src/scheduling/promptCache.ts
+++ b/src/scheduling/promptCache.ts
@@ -40,7 +40,9 @@
     return cached;
   }
 
-  /** The engine with the most transferable tokens; undefined if none has any. */
+  /**
+   * The engine with the most transferable tokens; undefined if none has any.
+   */
   findDonor(engines: readonly EngineState[]): Donor | undefined {
     let best: Donor | undefined;
     for (const engine of engines) {
--- a/src/scheduling/refusals.ts
+++ b/src/scheduling/refusals.ts
@@ -12,7 +12,10 @@
 /** Longest retry delay, ms; long answers need the rest of their time. */
 const MAX_RETRY_MS = 1000;
 
-/** `waitMs`: expected wait until the request could start on rate-limited engines. */
+/**
+ * `waitMs`: expected wait until the request could start on rate-limited
+ * engines.
+ */
 export const refuse = (
   request: PlacementRequest,
   why: RefusalCause,
--- a/src/scheduling/runTimeEstimator.ts
+++ b/src/scheduling/runTimeEstimator.ts
@@ -1,4 +1,6 @@
-/** Estimates the duration of a run from its output tokens. Pure; times are ms. */
+/**
+ * Estimates the duration of a run from its output tokens. Pure; times are ms.
+ */
 import { FadingSum } from "../shared/fadingSum.js";
 
 /** Time constant of the average, ms; longer than the longest runs. */
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -1,8 +1,8 @@
 /**
- * Where a model request is read and run, and whether it is served at all.
- * Pure: asks and events with a clock in, answers out. One scheduler serves
- * all entries of a service while it can be reached; each entry has one of
- * its own for the time when it can't.
+ * Admits model requests and chooses the engines that prefill and decode them.
+ * Pure: takes requests, events and the current time, and returns answers. One
+ * scheduler serves all entries of a service while it is reachable; each entry
+ * falls back to its ownPlan scheduler when it is not.
  */
 import { NO_LIMITS } from "../rateLimits/index.js";
 import type { EnginePermits } from "../rateLimits/index.js";
@@ -38,37 +38,40 @@
 import type { PrefillLoad, QueuedRequest } from "./waitQueue.js";
 
 /**
- * Time of the hops between the end of a read and the caller, ms. Prompts that
- * the runner reads in less are not worth the hops to another engine.
+ * Time of the network hops between the end of a prefill and the caller, ms.
+ * Prompts that the runner can prefill in less time are not worth the hops to
+ * another engine.
  */
 const HOP_MS = 16;
+/** Weight of a new value in the running mean of prefill times. */
 const MEAN_PREFILL_GAIN = 0.02;
 /**
- * Part of the objective in which an answer is planned: those that begin last
- * would else miss it by the error of the estimate.
+ * Share of the latency objective used for planning. The margin covers
+ * estimation errors, by which the last answers to start would otherwise miss
+ * the objective.
  */
 const OBJECTIVE_SHARE = 0.85;
-/** One token of output counts as this many of the prompt in a size. */
+/** Weight of an output token in the size of a request, in prompt tokens. */
 const OUTPUT_WEIGHT = 10;
 /**
- * An engine gets a prompt when it will have read the rest by then, ms: four
- * times the hops, which is as far as news of it and the answer to them may
- * lag. More would fix the order, and the engine, too early; with less it
- * stands idle.
+ * Largest backlog at which an engine is given another prompt, ms. Four times
+ * the hop time is the longest that reports from the engine and the response to
+ * them may lag. A larger limit fixes the order and the engine too early; with a
+ * smaller one engines stand idle.
  */
 const MAX_DISPATCH_BACKLOG_MS = 4 * HOP_MS;
-/** Requests that are looked at for engines that come free. */
+/** Number of queued requests considered when engines become free. */
 const MAX_DISPATCH_CANDIDATES = 16;
-/** Time constant of the rate of urgent reading, ms. */
+/** Time constant of the rate of on-time prefill work, ms. */
 const RATE_TIME_CONSTANT_MS = 1000;
 
-/** The late answer to a request that was queued. */
+/** The final answer to a request that was queued. */
 export interface QueuedAnswer {
   id: string;
   answer: PlacementAnswer;
 }
 
-/** What there is to choose from for one request. */
+/** The engines available for one request. */
 interface Candidates {
   request: PlacementRequest;
   cache: PromptCacheLookup;
@@ -76,23 +79,23 @@
   now: number;
 }
 
-/** Reading that is meant for engines and not given to them yet, ms. */
+/** Prefill time planned on engines for requests that stay queued, ms. */
 type ReservedPrefill = Map<EngineState, number>;
 
 const sizeOf = (request: PlacementRequest): number =>
   request.promptTokens + OUTPUT_WEIGHT * request.outputTokens;
 
-/** The request as it stands after its wait. */
+/** The request with its time in the queue deducted from the time left. */
 const withWaitDeducted = (
-  { request, queuedAt: arrivedAt }: QueuedRequest,
+  { request, queuedAt }: QueuedRequest,
   now: number,
 ): PlacementRequest => ({
   ...request,
-  objectiveLeftMs: request.objectiveLeftMs - (now - arrivedAt),
-  deadlineLeftMs: request.deadlineLeftMs - (now - arrivedAt),
+  objectiveLeftMs: request.objectiveLeftMs - (now - queuedAt),
+  deadlineLeftMs: request.deadlineLeftMs - (now - queuedAt),
 });
 
-/** Whether none of these reads, or none makes tokens. */
+/** Whether there is no prefill engine or no decode engine among these. */
 const isMissingStage = (open: readonly EngineState[]): boolean =>
   new Set(open.map((item) => item.view.stage)).size < STAGES.length;
 
@@ -102,15 +105,18 @@
     this.fairness.revertServed(request.route, sizeOf(request)),
   );
   private readonly queue = new WaitQueue();
-  /** Mean time to read the prompts that were asked for, ms. */
+  /** Mean expected prefill time of requested prompts, ms. */
   private readonly meanPrefillMs = new RunningMean(MEAN_PREFILL_GAIN);
-  /** Urgent reading that was given out, ms. */
+  /** Prefill work assigned to engines for answers that can be on time, ms. */
   private readonly onTimePrefillMs = new FadingSum(RATE_TIME_CONSTANT_MS);
   readonly demandTotals: DemandTotals = { ...NO_DEMAND };
   readonly prefillModel = new PrefillTimeModel();
   private readonly engines: EnginePool;
 
-  /** `share`: how many schedulers place on these engines without talking. */
+  /**
+   * `schedulerCount`: how many schedulers place on these engines without
+   * coordination.
+   */
   constructor(
     private schedulerCount: () => number,
     private readonly permits: EnginePermits = NO_LIMITS,
@@ -122,7 +128,7 @@
     );
   }
 
-  /** The engines that may get work; others keep what they run. */
+  /** Sets the engines that may be assigned work; others keep their runs. */
   setEngines(views: readonly EngineView[]): void {
     this.engines.set(views);
   }
@@ -131,16 +137,20 @@
     return this.engines.all();
   }
 
-  /** Closes an engine, which changes its stage, until an instant. */
+  /**
+   * Assigns no work to an engine until the given time, e.g. during a stage
+   * change.
+   */
   suspendEngine(id: string, until: number): void {
     this.engines.suspend(id, until);
   }
 
-  /** How many requests wait for an engine. */
+  /** Number of requests waiting for an engine. */
   get queueLength(): number {
     return this.queue.size;
   }
 
+  /** Places, queues or refuses a request. */
   place(request: PlacementRequest, now: number): PlacementAnswer | Queued {
     this.prefillModel.estimateFromObjective(
       request.objectiveLeftMs,
@@ -154,7 +164,7 @@
     return answer;
   }
 
-  /** Answers of requests that waited, as far as there are any now. */
+  /** Returns the answers to queued requests that can start or have expired. */
   answerQueued(now: number): QueuedAnswer[] {
     if (this.queue.size === 0) return [];
     const answers: QueuedAnswer[] = this.queue
@@ -182,7 +192,6 @@
     return answers;
   }
 
-  /** Starts it, lets it wait, or refuses it. */
   private admit(
     request: PlacementRequest,
     now: number,
@@ -193,14 +202,14 @@
     const costMs = plan?.costMs ?? 0;
     if (!request.isReturn) this.addDemand(request, costMs, now);
     if (costMs > 0) this.meanPrefillMs.add(costMs);
-    // Retries, callers that return after a refusal, and sizes that lag behind
-    // their route skip this check.
+    // Retries, callers that return after a refusal, and request sizes that are
+    // underserved on their route skip this check.
     const isFirstTry = !request.isReturn && request.avoid.length === 0;
-    const isBehind = this.fairness.isUnderserved(
+    const isUnderserved = this.fairness.isUnderserved(
       request.route,
       sizeOf(request),
     );
-    const mayRefuse = isFirstTry && !isBehind;
+    const mayRefuse = isFirstTry && !isUnderserved;
     if (mayRefuse && !isAdmissible(this.plannedRun(request), open)) {
       return refuse(request, "slots");
     }
@@ -209,15 +218,16 @@
       ? undefined
       : this.tryGrant(choice, plan);
     if (grant !== undefined) return grant;
-    // Waiting ends no back-off: the caller hears at once when to come back.
-    const fit = this.engines.eligibleFor(request, now);
-    if (request.unavailable.length > 0 && isMissingStage(fit)) {
+    // Waiting does not end a back-off, so the caller is told at once when to
+    // retry.
+    const eligible = this.engines.eligibleFor(request, now);
+    if (request.unavailable.length > 0 && isMissingStage(eligible)) {
       return refuse(request, "no-engine");
     }
-    const load = this.prefillLoad(request, fit, now);
+    const load = this.prefillLoad(request, eligible, now);
     if (!this.queue.canQueue(item, load, now)) {
       const waitMs = load.capacityWaitMs * (this.queue.size + 1);
-      return refuse(request, this.refusalCause(open, fit), waitMs);
+      return refuse(request, this.refusalCause(open, eligible), waitMs);
     }
     this.queue.add(item, now);
     return { kind: "queued" };
@@ -256,29 +266,29 @@
   ): QueuedRequest {
     const needMs = costMs + this.afterPrefillMs;
     const objectiveMs = request.objectiveLeftMs * OBJECTIVE_SHARE;
-    const inTimeUntil = now + objectiveMs - needMs;
+    const ownOnTimeUntil = now + objectiveMs - needMs;
     const latestStartAt = now + request.deadlineLeftMs - needMs;
-    // Where the large ones fall behind, they wait as the others do.
-    const isBehind =
+    // Underserved large requests get the on-time limit of an average request.
+    const isUnderserved =
       costMs > this.meanPrefillMs.value &&
       this.fairness.isUnderserved(request.route, sizeOf(request));
-    const usualMs = this.meanPrefillMs.value + this.afterPrefillMs;
-    const usualUntil = now + objectiveMs - usualMs;
+    const meanNeedMs = this.meanPrefillMs.value + this.afterPrefillMs;
+    const meanOnTimeUntil = now + objectiveMs - meanNeedMs;
     return {
       request,
       costMs,
       queuedAt: now,
-      onTimeUntil: isBehind ? usualUntil : inTimeUntil,
+      onTimeUntil: isUnderserved ? meanOnTimeUntil : ownOnTimeUntil,
       latestStartAt,
     };
   }
 
   private refusalCause(
     open: readonly EngineState[],
-    fit: readonly EngineState[],
+    eligible: readonly EngineState[],
   ): RefusalCause {
     const share = this.schedulerCount();
-    if (isMissingStage(fit)) return "no-engine";
+    if (isMissingStage(eligible)) return "no-engine";
     if (isMissingStage(open)) return "limited";
     const runners = open.filter((item) => item.view.stage === "decode");
     const hasSlot = runners.some(
@@ -289,8 +299,8 @@
   }
 
   /**
-   * Its grant, if engines can begin it soon; `plan`: the best engine to read
-   * it apart.
+   * Grants the request if engines can start it soon. `plan`: the best prefill
+   * engine, if there is one.
    */
   private tryGrant(
     choice: Candidates,
@@ -300,12 +310,15 @@
     const share = this.schedulerCount();
     const runner = chooseRunner(this.plannedRun(request), open, now);
     if (runner === undefined) return undefined;
-    const restMs = runner.prefillCostMs(
+    const remainderMs = runner.prefillCostMs(
       request.promptTokens,
       cache.cachedTokens(runner),
     );
-    if (restMs <= HOP_MS && runner.backlogMs(now) <= MAX_DISPATCH_BACKLOG_MS) {
-      this.demandTotals.decodePrefillMs += restMs;
+    if (
+      remainderMs <= HOP_MS &&
+      runner.backlogMs(now) <= MAX_DISPATCH_BACKLOG_MS
+    ) {
+      this.demandTotals.decodePrefillMs += remainderMs;
       return this.grantWithPermits(choice, undefined, runner);
     }
     const limitMs = request.objectiveLeftMs - this.afterPrefillMs;
@@ -319,7 +332,7 @@
     const withCapacity = open.filter((other) =>
       hasCapacity(request, other, share),
     );
-    const own = planDecodePrefill(
+    const ownPlan = planDecodePrefill(
       request,
       cache,
       withCapacity,
@@ -327,10 +340,10 @@
       limitMs,
       now,
     );
-    return own && this.grantWithPermits(choice, own, own.engine);
+    return ownPlan && this.grantWithPermits(choice, ownPlan, ownPlan.engine);
   }
 
-  /** Grants it, and uses a permit of each engine that gets a request. */
+  /** Grants the request and takes a permit from each engine that it uses. */
   private grantWithPermits(
     choice: Candidates,
     plan: PrefillPlan | undefined,
@@ -348,12 +361,13 @@
   }
 
   /**
-   * Of the engines that may read it: what the others do shortens no wait.
-   * `fit`: those that may get it, also where they take no more for a moment.
+   * Load on the prefill engines that may get the request; other engines do not
+   * shorten its wait. `eligible`: eligible engines, including those at their rate
+   * limit.
    */
   private prefillLoad(
     request: PlacementRequest,
-    fit: readonly EngineState[],
+    eligible: readonly EngineState[],
     now: number,
   ): PrefillLoad {
     const { permits } = this;
@@ -368,13 +382,13 @@
       now,
     );
     const backlog = readers.reduce((sum, item) => sum + item.backlogMs(now), 0);
-    const roomy = fit.filter((item) =>
+    const withCapacity = eligible.filter((item) =>
       hasCapacity(request, item, this.schedulerCount()),
     );
-    const fullMs = roomy.length > 0 ? 0 : 1 / this.placed.endRate(now);
+    const fullMs = withCapacity.length > 0 ? 0 : 1 / this.placed.endRate(now);
     const permitMs = Math.max(
       permitIntervalMs(readers, permits, now),
-      permitIntervalMs(roomy, permits, now),
+      permitIntervalMs(withCapacity, permits, now),
     );
     return {
       engines,
@@ -384,16 +398,18 @@
     };
   }
 
-  /** From the end of a read to the first event at the caller, ms. */
+  /**
+   * Expected time from the end of a prefill to the first event at the caller,
+   * ms.
+   */
   private get afterPrefillMs(): number {
     return this.placed.firstEventMs + HOP_MS;
   }
 
   /**
-   * Takes over a grant that another scheduler has given; `isRead`: an engine
-   * has read its prompt, which nobody will report any more. Counted as under
-   * way, such reads would keep the engines of a new holder from work for
-   * seconds.
+   * Takes over a grant from another scheduler. `isRead`: the prefill has ended
+   * and will not be reported again. If such prefills counted as outstanding,
+   * a new lease holder would assign no work to their engines for seconds.
    */
   adoptGrant(
     request: PlacementRequest,
@@ -424,14 +440,14 @@
     this.recordGrant(choice, plan, runner);
   }
 
-  /** An engine says that it holds these parts. */
+  /** Records the prompt parts that an engine reports as cached. */
   recordCachedParts(engine: string, held: readonly HeldPart[]): void {
     const parts = held.map(({ model, ...part }) => keyedPart(model, part));
     this.engines.get(engine)?.markCached(parts);
   }
 
   onEvent(event: PlacementEvent, now: number): void {
-    // The list of engines lacks it from now on.
+    // The engine list no longer contains it.
     if (event.kind === "leaving") return;
     if (event.kind === "wrong-stage") {
       return this.engines.suspendForStageMismatch(event.engine, now);
@@ -445,13 +461,18 @@
     if (event.kind === "ended") this.queue.remove(event.id);
   }
 
-  /** Drops what was never reported on; returns the number of runs dropped. */
+  /**
+   * Drops work whose end was never reported; returns the number of runs
+   * dropped.
+   */
   expire(now: number): number {
     this.placed.expire(now);
     return this.engines.expire(now);
   }
 
-  /** `plan`: absent where the runner reads a short rest by the way. */
+  /**
+   * `plan`: undefined if the runner prefills a short uncached remainder itself.
+   */
   private recordGrant(
     { request, cache, now }: Candidates,
     plan: PrefillPlan | undefined,
@@ -465,11 +486,11 @@
     const work = prefillWorkOf(request.promptTokens, cached);
     reader.addPrefill(request.id, work, costMs * this.schedulerCount(), now);
     reader.markPending(parts);
-    const apart = reader === runner ? undefined : reader;
-    this.placed.add(request, { reader: apart, runner, parts }, now);
+    const separateReader = reader === runner ? undefined : reader;
+    this.placed.add(request, { reader: separateReader, runner, parts }, now);
     return {
       kind: "granted",
-      reader: apart?.view.id,
+      reader: separateReader?.view.id,
       runner: runner.view.id,
       donor: plan?.donor?.view.id,
       readMs: plan?.endMs ?? 0,
--- a/src/scheduling/sizeFairness.ts
+++ b/src/scheduling/sizeFairness.ts
@@ -9,7 +9,10 @@
 /** Size percentiles at which the "large" and "largest" groups start. */
 const LARGE_PERCENTILE = 70;
 const LARGEST_PERCENTILE = 90;
-/** A group is underserved if its served share is below this fraction of the route's. */
+/**
+ * A group is underserved if its served share is below this fraction of the
+ * route's.
+ */
 const UNDERSERVED_RATIO = 0.7;
 /** Number of requests after which the bounds of the groups are updated. */
 const BOUNDS_INTERVAL = 20;
@@ -52,7 +55,10 @@
     return size >= this.largeFrom ? "large" : "rest";
   }
 
-  /** Percentiles are expensive to look up and change slowly, so bounds are cached. */
+  /**
+   * Percentiles are expensive to look up and change slowly, so bounds are
+   * cached.
+   */
   private record(size: number): void {
     const { sizes } = this;
     sizes.recordValue(Math.max(1, Math.round(size)));
@@ -93,7 +99,10 @@
 export class SizeFairness {
   private readonly routes = new Map<string, RouteSizes>();
 
-  /** Whether requests of this size are served less often than their route overall. */
+  /**
+   * Whether requests of this size are served less often than their route
+   * overall.
+   */
   isUnderserved(route: string, size: number): boolean {
     const sizes = this.routes.get(route);
     return sizes !== undefined && sizes.isUnderserved(sizes.groupOf(size));
--- a/src/scheduling/stagePlanner.ts
+++ b/src/scheduling/stagePlanner.ts
@@ -22,7 +22,10 @@
   engines: readonly PlannedEngine[];
   /** Prefill demand, in engines fully occupied by prefill; smoothed. */
   prefillDemand: number;
-  /** Prefill demand on decode engines, in engines fully occupied by it; smoothed. */
+  /**
+   * Prefill demand on decode engines, in engines fully occupied by it;
+   * smoothed.
+   */
   decodePrefillDemand: number;
   /** Recent peaks of concurrent runs and of their tokens. */
   peakRuns: number;
--- a/src/scheduling/types.ts
+++ b/src/scheduling/types.ts
@@ -2,7 +2,9 @@
 
 export const STAGES = ["prefill", "decode"] as const;
 
-/** Work that an engine does: prefill (read prompts) or decode (generate tokens). */
+/**
+ * Work that an engine does: prefill (read prompts) or decode (generate tokens).
+ */
 export type Stage = (typeof STAGES)[number];
 
 /** An engine that may be assigned work. */
@@ -31,12 +33,17 @@
   /** Unique across all entry processes. */
   id: string;
   service: string;
-  /** Requests of one route are assumed similar; statistics are kept per route. */
+  /**
+   * Requests of one route are assumed similar; statistics are kept per route.
+   */
   route: string;
   domain: string;
   model: string;
   promptTokens: number;
-  /** The caller's estimate of the output tokens, or `mostOutputTokens` if absent. */
+  /**
+   * The caller's estimate of the output tokens, or `mostOutputTokens` if
+   * absent.
+   */
   outputTokens: number;
   /** Maximum number of output tokens. */
   mostOutputTokens: number;
--- a/src/scheduling/waitQueue.ts
+++ b/src/scheduling/waitQueue.ts
@@ -1,63 +1,66 @@
 /**
- * Requests that wait for engines. Those that can still be in time go first,
- * the one that must begin soonest ahead; behind them those that will be late,
- * the most urgent kind first. Engines get only what they can begin soon, so
- * that the order is decided here and not by who came first. A request is
- * taken in only where its turn is expected to come well before its caller
- * gives up. Pure; times are ms.
+ * Queue of requests that wait for engines. Requests that can still meet their
+ * latency objective come first, in order of the latest start that is on time;
+ * then late requests, in order of priority. Engines get only work that they can
+ * start soon, so this order applies rather than the order of arrival. A request
+ * is queued only if it is expected to start well before its caller gives up.
+ * Pure; times are ms.
  */
 import type { PlacementRequest } from "./types.js";
 
 /**
- * Part of its time in which a late request must be expected to begin: the
- * rest covers the error of the estimate, and those that overtake.
+ * Share of its remaining time within which a late request must be expected to
+ * start. The rest covers estimation errors and requests that overtake it.
  */
 const ALLOWED_WAIT_SHARE = 0.5;
-/** A larger share of reading in time is not believed. */
+/** Upper bound on the estimated share of on-time prefill work. */
 const MAX_ON_TIME_SHARE = 0.9;
 const MAX_QUEUED = 1024;
 /**
- * What becomes of late requests corrects the estimate: each that waited in
- * vain shortens the waits that are allowed to this part, …
+ * The outcomes of late requests correct the wait estimate: each request that
+ * expires in the queue multiplies the allowed wait by this factor.
  */
 const EXPIRED_FACTOR = 0.8;
-/** … each that began adds this part of the full length again. */
+/**
+ * Each late request that starts restores this share of the full allowed wait.
+ */
 const STARTED_STEP = 0.02;
 const MIN_CONFIDENCE = 0.05;
 
-/** A request that waits. */
+/** A request that waits for an engine. */
 export interface QueuedRequest {
   request: PlacementRequest;
-  /** Expected time of its read, ms. */
+  /** Expected prefill time, ms. */
   costMs: number;
   queuedAt: number;
-  /** Its answer is in time if its read begins by then. */
+  /** Latest prefill start for which the answer meets the latency objective. */
   onTimeUntil: number;
-  /** Its caller gives up if its read begins later. */
+  /** Latest prefill start before the caller gives up. */
   latestStartAt: number;
 }
 
-/** What the engines have to do at the moment. */
+/** Current prefill load and run capacity of the engines. */
 export interface PrefillLoad {
+  /** Effective number of prefill engines; rate-limited ones count in part. */
   engines: number;
-  /** Mean time until an engine has read what it was given, ms. */
+  /** Mean prefill backlog of an engine, ms. */
   backlogMs: number;
-  /** Part of their time that reading for answers in time takes. */
+  /** Share of the engines' time taken by prefill for on-time requests. */
   onTimeShare: number;
-  /** Until one more run can begin, ms: none where there is room. */
+  /** Expected time until one more run can start, ms; 0 if there is capacity. */
   capacityWaitMs: number;
 }
 
 const costOf = (items: readonly QueuedRequest[]): number =>
   items.reduce((sum, item) => sum + item.costMs, 0);
 
-/** Expected wait for room to run, with so many before it, ms. */
+/** Expected wait for run capacity with `before` requests ahead, ms. */
 const capacityDelayMs = (
   { capacityWaitMs }: PrefillLoad,
   before: number,
 ): number => (capacityWaitMs === 0 ? 0 : capacityWaitMs * (before + 1));
 
-/** Whether `left` goes before `right` where both will be late. */
+/** Whether `left` comes before `right` if both are late. */
 const precedesLate = (left: QueuedRequest, right: QueuedRequest): boolean => {
   const byPriority = left.request.priority - right.request.priority;
   if (byPriority !== 0) return byPriority < 0;
@@ -74,23 +77,24 @@
 };
 
 export class WaitQueue {
-  /** By the instant at which they must begin. */
+  /** Requests that can be on time, ordered by `onTimeUntil`. */
   private readonly onTime: QueuedRequest[] = [];
+  /** Late requests, ordered by priority and then by `latestStartAt`. */
   private readonly late: QueuedRequest[] = [];
-  /** Part of the allowed waits that is believed at the moment. */
+  /** Factor on the allowed waits, adjusted by the outcomes of late requests. */
   private confidence = 1;
 
   get size(): number {
     return this.onTime.length + this.late.length;
   }
 
-  /** Whether another must begin before this one. */
+  /** Whether a queued request has to start sooner than this one. */
   hasMoreUrgent(item: QueuedRequest): boolean {
     const first = this.onTime[0];
     return first !== undefined && first.onTimeUntil < item.onTimeUntil;
   }
 
-  /** Whether its turn is expected to come soon enough. */
+  /** Whether the request is expected to start soon enough to be queued. */
   canQueue(item: QueuedRequest, load: PrefillLoad, now: number): boolean {
     if (load.engines === 0 || this.size >= MAX_QUEUED) return false;
     if (now + this.onTimeWaitMs(item, load) <= item.onTimeUntil) return true;
@@ -99,7 +103,7 @@
     return this.lateWaitMs(item, load) <= allowedMs;
   }
 
-  /** Expected wait where it is to be in time, ms. */
+  /** Expected wait among the on-time requests, ms. */
   private onTimeWaitMs(item: QueuedRequest, load: PrefillLoad): number {
     const ahead = this.onTime.filter(
       (other) => other.onTimeUntil <= item.onTimeUntil,
@@ -108,7 +112,7 @@
     return Math.max(readingMs, capacityDelayMs(load, ahead.length));
   }
 
-  /** Expected wait where it will be late, ms. */
+  /** Expected wait among the late requests, ms. */
   private lateWaitMs(item: QueuedRequest, load: PrefillLoad): number {
     const ahead = this.late.filter((other) => !precedesLate(item, other));
     const aheadMs = (costOf(this.onTime) + costOf(ahead)) / load.engines;
@@ -134,14 +138,17 @@
     }
   }
 
-  /** It begins now. */
+  /** Removes a request that starts now. */
   dequeue(item: QueuedRequest, now: number): void {
     this.remove(item.request.id);
     if (now <= item.onTimeUntil) return;
     this.confidence = Math.min(1, this.confidence + STARTED_STEP);
   }
 
-  /** Takes out those that nobody would wait for any longer. */
+  /**
+   * Moves on-time requests that have become late to the late list, then removes
+   * and returns those whose latest start has passed.
+   */
   removeExpired(now: number): QueuedRequest[] {
     const overdue = this.onTime.filter((item) => now > item.onTimeUntil);
     for (const item of overdue) {
@@ -159,7 +166,7 @@
     return expired;
   }
 
-  /** The first ones, in their order. */
+  /** The first `count` requests in queue order. */
   peek(count: number): QueuedRequest[] {
     return [...this.onTime, ...this.late].slice(0, count);
   }
