--- a/src/scheduling/enginePool.ts
+++ b/src/scheduling/enginePool.ts
@@ -89,15 +89,17 @@
     { avoid, unavailable }: PlacementRequest,
     now: number,
   ): EngineState[] {
-    const able = this.all().filter(({ view, suspendedUntil }) => {
-      const isLeftOut =
+    const candidates = this.all().filter(({ view, suspendedUntil }) => {
+      const isExcluded =
         avoid.includes(view.id) || unavailable.includes(view.id);
-      return suspendedUntil <= now && !isLeftOut;
+      return suspendedUntil <= now && !isExcluded;
     });
-    const fit = able.filter((item) => !item.isBackingOff(now));
-    const stages = new Set(fit.map((item) => item.view.stage));
-    const lastResort = able.filter((item) => !stages.has(item.view.stage));
-    return [...fit, ...lastResort];
+    const healthy = candidates.filter((item) => !item.isBackingOff(now));
+    const stages = new Set(healthy.map((item) => item.view.stage));
+    const lastResort = candidates.filter(
+      (item) => !stages.has(item.view.stage),
+    );
+    return [...healthy, ...lastResort];
   }
 
   /**
--- a/src/scheduling/engineState.ts
+++ b/src/scheduling/engineState.ts
@@ -44,7 +44,7 @@
  */
 const OVERDUE_FACTOR = 1;
 
-interface Prefill {
+interface OutstandingPrefill {
   work: PrefillWork;
   /** Estimated time, ms. */
   costMs: number;
@@ -58,7 +58,7 @@
 }
 
 export class EngineState {
-  private readonly prefills = new Map<string, Prefill>();
+  private readonly prefills = new Map<string, OutstandingPrefill>();
   readonly runs: EngineRuns;
   private readonly cache: LRUCache<string, CachedPart>;
   /** Expected time of all unfinished prefills, ms. */
@@ -226,7 +226,10 @@
   }
 
   /** Expected remaining time of the current prefill, ms. */
-  private remainingMs({ addedAt, costMs }: Prefill, now: number): number {
+  private remainingMs(
+    { addedAt, costMs }: OutstandingPrefill,
+    now: number,
+  ): number {
     const startedAt = Math.max(addedAt, this.lastPrefillEnd);
     const leftMs = startedAt + costMs - now;
     const leastMs = costMs * MIN_REMAINING_SHARE;
@@ -266,7 +269,7 @@
    * An engine prefills one prompt at a time, so a prefill takes the time since
    * the previous one ended. Prefills that end together are measured as one.
    */
-  private measure(prefill: Prefill, now: number): void {
+  private measure(prefill: OutstandingPrefill, now: number): void {
     const startedAt = Math.max(prefill.addedAt, this.lastPrefillEnd);
     const isAlone = prefill.addedAt >= this.lastPrefillEnd;
     if (isAlone) this.unmeasured = undefined;
--- a/src/scheduling/permitCapacity.ts
+++ b/src/scheduling/permitCapacity.ts
@@ -9,12 +9,12 @@
  * share of its time that the prompts it accepts would fill.
  */
 export const effectivePrefillEngines = (
-  readers: readonly EngineState[],
+  prefillEngines: readonly EngineState[],
   permits: EnginePermits,
   meanPrefillMs: number,
   now: number,
 ): number =>
-  readers.reduce((sum, { view }) => {
+  prefillEngines.reduce((sum, { view }) => {
     const perS = permits.ratePerS(view.id, now);
     if (perS === Infinity) return sum + 1;
     return sum + Math.min(1, (perS * meanPrefillMs) / MS_PER_SECOND);
--- a/src/scheduling/placedRequests.ts
+++ b/src/scheduling/placedRequests.ts
@@ -94,8 +94,8 @@
     const deadlineAt = now + answerLeftMs;
     const length = this.lengthOf(request);
     at.runner.runs.add(id, { tokens, deadlineAt, length }, now);
-    const lostAt = deadlineAt + MAX_BACK_OFF_MS;
-    this.placed.set(id, { ...at, grantedAt: now, request, expiresAt: lostAt });
+    const expiresAt = deadlineAt + MAX_BACK_OFF_MS;
+    this.placed.set(id, { ...at, grantedAt: now, request, expiresAt });
   }
 
   /** Estimated answer length of a request, from the history of its route. */
@@ -140,8 +140,8 @@
 
   /** Drops requests whose end was never reported. */
   expire(now: number): void {
-    for (const [id, { expiresAt: lostAt }] of this.placed) {
-      if (now > lostAt) this.placed.delete(id);
+    for (const [id, { expiresAt }] of this.placed) {
+      if (now > expiresAt) this.placed.delete(id);
     }
   }
 
--- a/src/scheduling/prefillPlanner.ts
+++ b/src/scheduling/prefillPlanner.ts
@@ -43,13 +43,13 @@
 export const planPrefill = (
   request: PlacementRequest,
   cache: PromptCacheLookup,
-  open: readonly EngineState[],
+  available: readonly EngineState[],
   now: number,
   reserved: ReadonlyMap<EngineState, number> = new Map(),
 ): PrefillPlan | undefined => {
-  const donor = cache.findDonor(open);
+  const donor = cache.findDonor(available);
   let best: (PrefillPlan & { score: number }) | undefined;
-  for (const engine of open) {
+  for (const engine of available) {
     if (engine.view.stage !== "prefill") continue;
     const plan = planAt(request, cache, engine, donor, now);
     plan.endMs += reserved.get(engine) ?? 0;
@@ -61,20 +61,20 @@
 
 /**
  * Chooses the decode engine that can prefill the prompt itself first;
- * undefined if none can within `limitMs`. `open`: engines with capacity for the
- * run; `all`: engines to copy cached parts from.
+ * undefined if none can within `limitMs`. `withCapacity`: engines with capacity
+ * for the run; `donors`: engines from which cached parts may be copied.
  */
 export const planDecodePrefill = (
   request: PlacementRequest,
   cache: PromptCacheLookup,
-  open: readonly EngineState[],
-  all: readonly EngineState[],
+  withCapacity: readonly EngineState[],
+  donors: readonly EngineState[],
   limitMs: number,
   now: number,
 ): PrefillPlan | undefined => {
-  const donor = cache.findDonor(all);
+  const donor = cache.findDonor(donors);
   let best: PrefillPlan | undefined;
-  for (const engine of open) {
+  for (const engine of withCapacity) {
     if (engine.view.stage !== "decode" || engine.prefillCount > 0) continue;
     const plan = planAt(request, cache, engine, donor, now);
     if (plan.costMs > MAX_DECODE_PREFILL_MS || plan.endMs > limitMs) continue;
--- a/src/scheduling/runPlanner.ts
+++ b/src/scheduling/runPlanner.ts
@@ -32,11 +32,11 @@
  */
 export const chooseRunner = (
   run: PlannedRun,
-  open: readonly EngineState[],
+  available: readonly EngineState[],
   now: number,
 ): EngineState | undefined => {
   let best: { engine: EngineState; cost: number } | undefined;
-  for (const engine of open) {
+  for (const engine of available) {
     const load = loadWith(run.request, engine, run.schedulerCount);
     if (load === undefined) continue;
     const cost = costOf(run, engine, load, now);
@@ -51,12 +51,12 @@
  */
 export const isAdmissible = (
   run: PlannedRun,
-  open: readonly EngineState[],
+  available: readonly EngineState[],
 ): boolean => {
   const { request, schedulerCount, length } = run;
   if (request.outputTokens < LONG_OUTPUT_TOKENS) return true;
   const tokens = request.promptTokens + request.outputTokens;
-  const withCapacity = open.filter((engine) =>
+  const withCapacity = available.filter((engine) =>
     hasCapacity(request, engine, schedulerCount),
   );
   return (
@@ -109,10 +109,10 @@
   now: number,
 ): number => {
   const away = engine.view.domain === request.domain ? 0 : CROSS_DOMAIN_COST;
-  const reading = engine.backlogMs(now) / FULL_BACKLOG_MS;
-  if (request.outputTokens < LONG_OUTPUT_TOKENS) return load + away + reading;
+  const backlog = engine.backlogMs(now) / FULL_BACKLOG_MS;
+  if (request.outputTokens < LONG_OUTPUT_TOKENS) return load + away + backlog;
   const packed = load <= PACK_LOAD ? 1 - load : 1 + load;
   const tokens = request.promptTokens + request.outputTokens;
   const missProbability = engine.runs.estimateMisses(tokens, length)?.own ?? 0;
-  return packed + away + reading + missProbability * MISS_WEIGHT;
+  return packed + away + backlog + missProbability * MISS_WEIGHT;
 };
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -42,7 +42,7 @@
  * Prompts that the runner can prefill in less time are not worth the hops to
  * another engine.
  */
-const HOP_MS = 16;
+const NETWORK_HOPS_MS = 16;
 /** Weight of a new value in the running mean of prefill times. */
 const MEAN_PREFILL_GAIN = 0.02;
 /**
@@ -54,12 +54,12 @@
 /** Weight of an output token in the size of a request, in prompt tokens. */
 const OUTPUT_WEIGHT = 10;
 /**
- * Largest backlog at which an engine is given another prompt, ms. Four times
- * the hop time is the longest that reports from the engine and the response to
- * them may lag. A larger limit fixes the order and the engine too early; with a
- * smaller one engines stand idle.
+ * Largest backlog at which an engine is given another prompt, ms. Reports from
+ * the engine and the response to them may lag by up to four times the hop time.
+ * A larger limit fixes the order and the engine too early; with a smaller one
+ * engines stand idle.
  */
-const MAX_DISPATCH_BACKLOG_MS = 4 * HOP_MS;
+const MAX_DISPATCH_BACKLOG_MS = 4 * NETWORK_HOPS_MS;
 /** Number of queued requests considered when engines become free. */
 const MAX_DISPATCH_CANDIDATES = 16;
 /** Time constant of the rate of on-time prefill work, ms. */
@@ -75,7 +75,7 @@
 interface Candidates {
   request: PlacementRequest;
   cache: PromptCacheLookup;
-  open: readonly EngineState[];
+  available: readonly EngineState[];
   now: number;
 }
 
@@ -96,8 +96,8 @@
 });
 
 /** Whether there is no prefill engine or no decode engine among these. */
-const isMissingStage = (open: readonly EngineState[]): boolean =>
-  new Set(open.map((item) => item.view.stage)).size < STAGES.length;
+const isMissingStage = (engines: readonly EngineState[]): boolean =>
+  new Set(engines.map((item) => item.view.stage)).size < STAGES.length;
 
 export class EngineScheduler {
   readonly fairness = new SizeFairness();
@@ -176,10 +176,10 @@
     if (!this.hasIdlePrefillEngine(now)) return answers;
     const reserved: ReservedPrefill = new Map();
     for (const item of this.queue.peek(MAX_DISPATCH_CANDIDATES)) {
-      const choice = this.candidatesFor(withWaitDeducted(item, now), now);
-      const { request, cache, open } = choice;
-      const plan = planPrefill(request, cache, open, now, reserved);
-      const answer = this.tryGrant(choice, plan);
+      const candidates = this.candidatesFor(withWaitDeducted(item, now), now);
+      const { request, cache, available } = candidates;
+      const plan = planPrefill(request, cache, available, now, reserved);
+      const answer = this.tryGrant(candidates, plan);
       if (answer !== undefined) {
         this.queue.dequeue(item, now);
         const waitedMs = now - item.queuedAt;
@@ -196,9 +196,9 @@
     request: PlacementRequest,
     now: number,
   ): PlacementAnswer | Queued {
-    const choice = this.candidatesFor(request, now);
-    const { cache, open } = choice;
-    const plan = planPrefill(request, cache, open, now);
+    const candidates = this.candidatesFor(request, now);
+    const { cache, available } = candidates;
+    const plan = planPrefill(request, cache, available, now);
     const costMs = plan?.costMs ?? 0;
     if (!request.isReturn) this.addDemand(request, costMs, now);
     if (costMs > 0) this.meanPrefillMs.add(costMs);
@@ -210,13 +210,13 @@
       sizeOf(request),
     );
     const mayRefuse = isFirstTry && !isUnderserved;
-    if (mayRefuse && !isAdmissible(this.plannedRun(request), open)) {
+    if (mayRefuse && !isAdmissible(this.plannedRun(request), available)) {
       return refuse(request, "slots");
     }
     const item = this.toQueuedRequest(request, costMs, now);
     const grant = this.queue.hasMoreUrgent(item)
       ? undefined
-      : this.tryGrant(choice, plan);
+      : this.tryGrant(candidates, plan);
     if (grant !== undefined) return grant;
     // Waiting does not end a back-off, so the caller is told at once when to
     // retry.
@@ -227,15 +227,15 @@
     const load = this.prefillLoad(request, eligible, now);
     if (!this.queue.canQueue(item, load, now)) {
       const waitMs = load.capacityWaitMs * (this.queue.size + 1);
-      return refuse(request, this.refusalCause(open, eligible), waitMs);
+      return refuse(request, this.refusalCause(available, eligible), waitMs);
     }
     this.queue.add(item, now);
     return { kind: "queued" };
   }
 
   private candidatesFor(request: PlacementRequest, now: number): Candidates {
-    const open = this.engines.availableFor(request, now);
-    return { request, open, now, cache: new PromptCacheLookup(request) };
+    const available = this.engines.availableFor(request, now);
+    return { request, available, now, cache: new PromptCacheLookup(request) };
   }
 
   private plannedRun(request: PlacementRequest): PlannedRun {
@@ -284,15 +284,15 @@
   }
 
   private refusalCause(
-    open: readonly EngineState[],
+    available: readonly EngineState[],
     eligible: readonly EngineState[],
   ): RefusalCause {
-    const share = this.schedulerCount();
+    const schedulerCount = this.schedulerCount();
     if (isMissingStage(eligible)) return "no-engine";
-    if (isMissingStage(open)) return "limited";
-    const runners = open.filter((item) => item.view.stage === "decode");
+    if (isMissingStage(available)) return "limited";
+    const runners = available.filter((item) => item.view.stage === "decode");
     const hasSlot = runners.some(
-      (item) => item.runCount * share + 1 <= item.view.slots,
+      (item) => item.runCount * schedulerCount + 1 <= item.view.slots,
     );
     if (!hasSlot) return "slots";
     return "too-late";
@@ -303,23 +303,23 @@
    * engine, if there is one.
    */
   private tryGrant(
-    choice: Candidates,
+    candidates: Candidates,
     plan: PrefillPlan | undefined,
   ): Grant | undefined {
-    const { request, open, cache, now } = choice;
-    const share = this.schedulerCount();
-    const runner = chooseRunner(this.plannedRun(request), open, now);
+    const { request, available, cache, now } = candidates;
+    const schedulerCount = this.schedulerCount();
+    const runner = chooseRunner(this.plannedRun(request), available, now);
     if (runner === undefined) return undefined;
     const remainderMs = runner.prefillCostMs(
       request.promptTokens,
       cache.cachedTokens(runner),
     );
     if (
-      remainderMs <= HOP_MS &&
+      remainderMs <= NETWORK_HOPS_MS &&
       runner.backlogMs(now) <= MAX_DISPATCH_BACKLOG_MS
     ) {
       this.demandTotals.decodePrefillMs += remainderMs;
-      return this.grantWithPermits(choice, undefined, runner);
+      return this.grantWithPermits(candidates, undefined, runner);
     }
     const limitMs = request.objectiveLeftMs - this.afterPrefillMs;
     if (
@@ -327,31 +327,34 @@
       plan.endMs - plan.costMs <= MAX_DISPATCH_BACKLOG_MS
     ) {
       if (plan.endMs <= limitMs) this.onTimePrefillMs.add(plan.costMs, now);
-      return this.grantWithPermits(choice, plan, runner);
+      return this.grantWithPermits(candidates, plan, runner);
     }
-    const withCapacity = open.filter((other) =>
-      hasCapacity(request, other, share),
+    const withCapacity = available.filter((other) =>
+      hasCapacity(request, other, schedulerCount),
     );
     const ownPlan = planDecodePrefill(
       request,
       cache,
       withCapacity,
-      open,
+      available,
       limitMs,
       now,
     );
-    return ownPlan && this.grantWithPermits(choice, ownPlan, ownPlan.engine);
+    return (
+      ownPlan && this.grantWithPermits(candidates, ownPlan, ownPlan.engine)
+    );
   }
 
   /** Grants the request and takes a permit from each engine that it uses. */
   private grantWithPermits(
-    choice: Candidates,
+    candidates: Candidates,
     plan: PrefillPlan | undefined,
     runner: EngineState,
   ): Grant {
     const engines = new Set([plan?.engine ?? runner, runner]);
-    for (const { view } of engines) this.permits.acquire(view.id, choice.now);
-    return this.recordGrant(choice, plan, runner);
+    for (const { view } of engines)
+      this.permits.acquire(view.id, candidates.now);
+    return this.recordGrant(candidates, plan, runner);
   }
 
   private hasIdlePrefillEngine(now: number): boolean {
@@ -362,8 +365,8 @@
 
   /**
    * Load on the prefill engines that may get the request; other engines do not
-   * shorten its wait. `eligible`: eligible engines, including those at their rate
-   * limit.
+   * shorten its wait. `eligible`: engines of both stages that may get it,
+   * including those at their rate limit.
    */
   private prefillLoad(
     request: PlacementRequest,
@@ -403,7 +406,7 @@
    * ms.
    */
   private get afterPrefillMs(): number {
-    return this.placed.firstEventMs + HOP_MS;
+    return this.placed.firstEventMs + NETWORK_HOPS_MS;
   }
 
   /**
@@ -430,14 +433,14 @@
         now,
       );
     }
-    const choice = { request, cache, open: [], now };
+    const candidates = { request, cache, available: [], now };
     if (engine === undefined)
-      return void this.recordGrant(choice, undefined, runner);
+      return void this.recordGrant(candidates, undefined, runner);
     const cached = cache.cachedTokens(engine);
     const costMs = engine.prefillCostMs(request.promptTokens, cached);
     const endMs = engine.backlogMs(now) + costMs;
     const plan = { engine, cached, costMs, endMs, donor: undefined };
-    this.recordGrant(choice, plan, runner);
+    this.recordGrant(candidates, plan, runner);
   }
 
   /** Records the prompt parts that an engine reports as cached. */
--- a/src/scheduling/stagePlanner.ts
+++ b/src/scheduling/stagePlanner.ts
@@ -91,10 +91,10 @@
   if (first === undefined) return { prefill: 0, decode: 0 };
   const bySlots = peakRuns / (first.slots * TARGET_RUN_USAGE);
   const byMemory = peakRunTokens / (first.kvCapacityTokens * TARGET_RUN_USAGE);
-  const byReading = input.decodePrefillDemand / TARGET_DECODE_PREFILL_USAGE;
+  const byPrefill = input.decodePrefillDemand / TARGET_DECODE_PREFILL_USAGE;
   return {
     prefill: input.prefillDemand / TARGET_PREFILL_USAGE,
-    decode: Math.max(bySlots, byMemory, byReading),
+    decode: Math.max(bySlots, byMemory, byPrefill),
   };
 };
 
@@ -128,7 +128,7 @@
     `runs need ${needs.decode.toFixed(1)} of ${decode}, ` +
     `${target} should read`;
   const minImbalance = Math.max(1, Math.ceil(all * MIN_IMBALANCE_SHARE));
-  const isSpare = {
+  const hasSpare = {
     prefill: prefill - 1 >= needs.prefill,
     decode: decode - 1 >= needs.decode,
   };
@@ -136,12 +136,12 @@
   const lacksDecode = needs.decode > decode;
   if (target - prefill >= (lacksPrefill ? 1 : minImbalance)) {
     const isTooSoon = input.sinceChangeToDecodeMs < MIN_DWELL_MS;
-    if (isTooSoon || !isSpare.decode) return undefined;
+    if (isTooSoon || !hasSpare.decode) return undefined;
     return changeLeastLoaded(engines, "prefill", why);
   }
   if (prefill - target >= (lacksDecode ? 1 : minImbalance)) {
     const isTooSoon = input.sinceChangeToPrefillMs < MIN_DWELL_MS;
-    if (isTooSoon || !isSpare.prefill) return undefined;
+    if (isTooSoon || !hasSpare.prefill) return undefined;
     return changeLeastLoaded(engines, "decode", why);
   }
   return undefined;
--- a/src/scheduling/waitQueue.ts
+++ b/src/scheduling/waitQueue.ts
@@ -108,8 +108,8 @@
     const ahead = this.onTime.filter(
       (other) => other.onTimeUntil <= item.onTimeUntil,
     );
-    const readingMs = load.backlogMs + costOf(ahead) / load.engines;
-    return Math.max(readingMs, capacityDelayMs(load, ahead.length));
+    const prefillWaitMs = load.backlogMs + costOf(ahead) / load.engines;
+    return Math.max(prefillWaitMs, capacityDelayMs(load, ahead.length));
   }
 
   /** Expected wait among the late requests, ms. */
