--- a/src/scheduling/enginePool.ts
+++ b/src/scheduling/enginePool.ts
@@ -34,8 +34,8 @@
       if (!listed.has(id)) this.engines.delete(id);
     }
     for (const view of views) {
-      const known = this.engines.get(view.id);
-      if (known !== undefined) known.updateView(view);
+      const engine = this.engines.get(view.id);
+      if (engine !== undefined) engine.updateView(view);
       else
         this.engines.set(
           view.id,
--- a/src/scheduling/engineRuns.ts
+++ b/src/scheduling/engineRuns.ts
@@ -113,7 +113,7 @@
     this.model.observe(load, tokenMs / this.relativeTime);
   }
 
-  /** Effect of adding a run; undefined while the pace is unknown. */
+  /** Effect of adding a run; undefined before the first fit. */
   estimateMisses(
     tokens: number,
     length: AnswerLength,
@@ -131,7 +131,7 @@
     return { own, others };
   }
 
-  /** Expected time per token, ms; undefined while the pace is unknown. */
+  /** Expected time per token, ms; undefined before the first fit. */
   private estimateTokenMs(runs: number, tokens: number): number | undefined {
     const ms = this.model.estimateMs({
       slotUsage: runs / this.slots(),
--- a/src/scheduling/engineState.ts
+++ b/src/scheduling/engineState.ts
@@ -82,9 +82,9 @@
     public view: EngineView,
     /** Shared by all engines of the service. */
     private readonly model: PrefillTimeModel,
-    tokenPace = new TokenTimeModel(),
+    tokenModel = new TokenTimeModel(),
   ) {
-    this.runs = new EngineRuns(() => this.view.slots, tokenPace);
+    this.runs = new EngineRuns(() => this.view.slots, tokenModel);
     this.cache = new LRUCache<string, CachedPart>({
       maxSize: Math.max(1, Math.floor(view.kvCapacityTokens * CACHE_SHARE)),
       sizeCalculation: ({ tokens }) => Math.max(1, tokens),
@@ -191,8 +191,8 @@
   /** Marks the parts that are not cached as pending. */
   markPending(parts: readonly KeyedPart[]): void {
     for (const { key, tokens } of parts) {
-      const known = this.cache.get(key);
-      if (known === undefined)
+      const cached = this.cache.get(key);
+      if (cached === undefined)
         this.cache.set(key, { tokens, isComplete: false });
     }
   }
@@ -232,8 +232,8 @@
   ): number {
     const startedAt = Math.max(addedAt, this.lastPrefillEnd);
     const leftMs = startedAt + costMs - now;
-    const leastMs = costMs * MIN_REMAINING_SHARE;
-    return Math.max(leftMs, leastMs, -leftMs * OVERDUE_FACTOR);
+    const minMs = costMs * MIN_REMAINING_SHARE;
+    return Math.max(leftMs, minMs, -leftMs * OVERDUE_FACTOR);
   }
 
   private leadingTokens(
@@ -242,8 +242,8 @@
   ): number {
     let sum = 0;
     for (const { key, tokens } of parts) {
-      const known = this.cache.peek(key);
-      if (known === undefined || !isUsable(known)) break;
+      const cached = this.cache.peek(key);
+      if (cached === undefined || !isUsable(cached)) break;
       sum += tokens;
     }
     return sum;
--- a/src/scheduling/placedRequests.ts
+++ b/src/scheduling/placedRequests.ts
@@ -40,7 +40,7 @@
   parts: readonly KeyedPart[];
 }
 
-interface Placed extends Assignment {
+interface PlacedRequest extends Assignment {
   grantedAt: number;
   request: PlacementRequest;
   /** Time after which no report on the request is expected, ms. */
@@ -56,7 +56,7 @@
 type EndedEvent = Extract<PlacementEvent, { kind: "ended" }>;
 
 export class PlacedRequests {
-  private readonly placed = new Map<string, Placed>();
+  private readonly placed = new Map<string, PlacedRequest>();
   private readonly firstEvent = new RunningMean(FIRST_EVENT_GAIN);
   private readonly runEnds = new FadingSum(RATE_TIME_CONSTANT_MS);
   readonly runTimes = new RunTimeEstimator();
@@ -149,7 +149,7 @@
    * Removes a request that an engine rejected. Nothing was prefilled or run, so
    * this says nothing about the engine's health or speed.
    */
-  private release(id: string, placed: Placed, now: number): void {
+  private release(id: string, placed: PlacedRequest, now: number): void {
     const { reader, runner, parts } = placed;
     this.placed.delete(id);
     reader?.endPrefill(id, false, now);
@@ -161,7 +161,7 @@
 
   private end(
     { id, ok, firstEventMs, stream }: EndedEvent,
-    placed: Placed,
+    placed: PlacedRequest,
     mayMeasure: boolean,
     now: number,
   ): void {
@@ -185,7 +185,7 @@
 
   private recordStream(
     id: string,
-    { request, runner }: Placed,
+    { request, runner }: PlacedRequest,
     { events, tookMs }: StreamResult,
     mayMeasure: boolean,
     now: number,
@@ -201,7 +201,7 @@
     runner.runs.recordTokenMs(id, tookMs / tokens, now);
   }
 
-  private recordRunTime(placed: Placed, now: number): void {
+  private recordRunTime(placed: PlacedRequest, now: number): void {
     const { grantedAt, request } = placed;
     this.runTimes.observe(request.outputTokens, now - grantedAt, now);
   }
--- a/src/scheduling/promptCache.ts
+++ b/src/scheduling/promptCache.ts
@@ -25,7 +25,7 @@
 
 export class PromptCacheLookup {
   readonly parts: readonly KeyedPart[];
-  private readonly known = new Map<EngineState, number>();
+  private readonly tokensByEngine = new Map<EngineState, number>();
 
   constructor(request: Pick<PlacementRequest, "model" | "parts">) {
     this.parts = request.parts.map((part) => keyedPart(request.model, part));
@@ -33,10 +33,10 @@
 
   /** Tokens at the start of the prompt that the engine need not prefill. */
   cachedTokens(engine: EngineState): number {
-    const known = this.known.get(engine);
-    if (known !== undefined) return known;
+    const memoized = this.tokensByEngine.get(engine);
+    if (memoized !== undefined) return memoized;
     const cached = engine.cachedTokens(this.parts);
-    this.known.set(engine, cached);
+    this.tokensByEngine.set(engine, cached);
     return cached;
   }
 
--- a/src/scheduling/sizeFairness.ts
+++ b/src/scheduling/sizeFairness.ts
@@ -25,11 +25,11 @@
 export type SizeGroup = "largest" | "large" | "rest";
 
 interface Count {
-  asked: number;
+  requested: number;
   served: number;
 }
 
-const newCount = (): Count => ({ asked: 0, served: 0 });
+const newCount = (): Count => ({ requested: 0, served: 0 });
 
 class RouteSizes {
   private readonly sizes: Histogram = build({
@@ -68,10 +68,11 @@
   }
 
   isUnderserved(group: SizeGroup): boolean {
-    const { asked, served } = this.groups[group];
-    if (group === "rest" || asked === 0 || this.all.asked === 0) return false;
-    const share = this.all.served / this.all.asked;
-    return served / asked < share * UNDERSERVED_RATIO;
+    const { requested, served } = this.groups[group];
+    if (group === "rest" || requested === 0 || this.all.requested === 0)
+      return false;
+    const share = this.all.served / this.all.requested;
+    return served / requested < share * UNDERSERVED_RATIO;
   }
 
   revertServed(size: number): void {
@@ -84,13 +85,13 @@
   count(size: number, isServed: boolean): void {
     const group = this.groups[this.groupOf(size)];
     for (const count of [this.all, group]) {
-      count.asked += 1;
+      count.requested += 1;
       if (isServed) count.served += 1;
     }
     this.record(size);
-    if (this.all.asked < MAX_COUNTED_REQUESTS) return;
+    if (this.all.requested < MAX_COUNTED_REQUESTS) return;
     for (const count of [this.all, ...Object.values(this.groups)]) {
-      count.asked /= 2;
+      count.requested /= 2;
       count.served /= 2;
     }
   }
--- a/src/scheduling/stagePlanner.ts
+++ b/src/scheduling/stagePlanner.ts
@@ -103,13 +103,16 @@
  * need, so that each can absorb an equally large burst or loss of engines.
  */
 const prefillTarget = ({ prefill, decode }: Needs, all: number): number => {
-  const least = Math.max(1, Math.ceil(all * MIN_STAGE_SHARE));
+  const minPerStage = Math.max(1, Math.ceil(all * MIN_STAGE_SHARE));
   const isKnown = prefill + decode >= all * MIN_KNOWN_SHARE;
-  const unseen = all * BASELINE_SHARE;
+  const baseline = all * BASELINE_SHARE;
   const share = isKnown
-    ? (prefill + unseen / 2) / (prefill + decode + unseen)
+    ? (prefill + baseline / 2) / (prefill + decode + baseline)
     : DEFAULT_PREFILL_SHARE;
-  return Math.min(all - least, Math.max(least, Math.round(all * share)));
+  return Math.min(
+    all - minPerStage,
+    Math.max(minPerStage, Math.round(all * share)),
+  );
 };
 
 /** Plans at most one stage change; undefined if none is due. */
@@ -118,8 +121,8 @@
   const all = engines.length;
   const needs = needsOf(input);
   const changing = engines.filter((item) => item.changingTo !== undefined);
-  const mostChanging = Math.max(1, Math.floor(all * MAX_CHANGING_SHARE));
-  if (changing.length >= mostChanging) return undefined;
+  const maxChanging = Math.max(1, Math.floor(all * MAX_CHANGING_SHARE));
+  if (changing.length >= maxChanging) return undefined;
   const prefill = countOf(engines, "prefill");
   const decode = countOf(engines, "decode");
   const target = prefillTarget(needs, all);
