--- a/src/gateway/requestProgress.ts
+++ b/src/gateway/requestProgress.ts
@@ -1,5 +1,5 @@
 /** State of one request to model engines over all its placement rounds. */
-import type { PlacementAsk } from "../scheduling/index.js";
+import type { PlacementRequest } from "../scheduling/index.js";
 import type { RequestFailure } from "../shared/errors.js";
 import type { Verdict } from "../shared/verdict.js";
 import { worseVerdict } from "../shared/verdict.js";
@@ -90,7 +90,7 @@
   progress: RequestProgress,
   domain: string,
   unavailable: string[],
-): PlacementAsk => {
+): PlacementRequest => {
   const { caller, avoid, grantId } = progress;
   const { prompt } = caller.head;
   const elapsedMs = caller.elapsedMs();
--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -69,7 +69,11 @@
 
   async step(): Promise<void> {
     const { now, scheduler } = this.options;
-    this.demand.measure(scheduler.asked, scheduler.engineStates(), now());
+    this.demand.measure(
+      scheduler.demandTotals,
+      scheduler.engineStates(),
+      now(),
+    );
     this.pruneChanges(now());
     const mayOrder = this.guard.fence(now()) !== undefined;
     if (!mayOrder || now() < this.refusedUntil) return;
@@ -89,7 +93,7 @@
     const since = now();
     this.pendingChanges.set(id, { to, since });
     this.lastChange[to] = since;
-    scheduler.close(id, since + CHANGE_TIMEOUT_MS);
+    scheduler.suspendEngine(id, since + CHANGE_TIMEOUT_MS);
   }
 
   /** Drops changes that are done, timed out or whose replica is gone. */
@@ -101,7 +105,7 @@
       const isTimedOut = now - since > CHANGE_TIMEOUT_MS;
       if (replica !== undefined && !isDone && !isTimedOut) continue;
       this.pendingChanges.delete(id);
-      scheduler.close(id, 0);
+      scheduler.suspendEngine(id, 0);
       log.info("change of stage ended", {
         replica: id,
         to,
@@ -130,12 +134,12 @@
         runTokens: engine.runTokens,
         changingTo: this.pendingChanges.get(engine.view.id)?.to,
       })),
-      readDemand: demand.read,
-      restDemand: demand.rest,
+      prefillDemand: demand.prefillEngines,
+      decodePrefillDemand: demand.decodePrefillEngines,
       peakRuns: demand.peakRuns,
       peakRunTokens: demand.peakRunTokens,
-      sinceToPrefillMs: now - this.lastChange.prefill,
-      sinceToDecodeMs: now - this.lastChange.decode,
+      sinceChangeToPrefillMs: now - this.lastChange.prefill,
+      sinceChangeToDecodeMs: now - this.lastChange.decode,
     });
   }
 
@@ -156,7 +160,7 @@
     });
     if (outcome.kind !== "refused") return;
     this.pendingChanges.delete(id);
-    scheduler.close(id, 0);
+    scheduler.suspendEngine(id, 0);
     this.refusedUntil = now() + REFUSED_PAUSE_MS;
   }
 
--- a/src/scheduling/promptCache.ts
+++ b/src/scheduling/promptCache.ts
@@ -1,11 +1,11 @@
 /**
- * How much of one prompt each engine's cache holds, looked up once an engine
- * and ask: a decision asks for it several times.
+ * Looks up how much of one prompt each engine has cached. Results are memoized
+ * per engine and request, since a placement decision needs them several times.
  */
 import type { EngineState } from "./engineState.js";
-import type { CachePart, PlacementAsk } from "./types.js";
+import type { CachePart, PlacementRequest } from "./types.js";
 
-/** A part of a prompt under the key by which caches know it. */
+/** A prompt part with its cache key. */
 export interface KeyedPart {
   key: string;
   tokens: number;
@@ -16,34 +16,37 @@
   tokens: part.tokens,
 });
 
-/** The engine that holds most of a prompt, and how much. */
+/** The engine that can supply the most cached tokens of a prompt. */
 export interface Donor {
   engine: EngineState;
+  /** Tokens at the start of the prompt that it holds. */
   cached: number;
 }
 
-export class PromptCache {
+export class PromptCacheLookup {
   readonly parts: readonly KeyedPart[];
-  private readonly known = new Map<EngineState, number>();
+  private readonly tokensByEngine = new Map<EngineState, number>();
 
-  constructor(ask: Pick<PlacementAsk, "model" | "parts">) {
-    this.parts = ask.parts.map((part) => keyedPart(ask.model, part));
+  constructor(request: Pick<PlacementRequest, "model" | "parts">) {
+    this.parts = request.parts.map((part) => keyedPart(request.model, part));
   }
 
-  /** Tokens at the start of the prompt that the engine holds. */
-  at(engine: EngineState): number {
-    const known = this.known.get(engine);
-    if (known !== undefined) return known;
+  /** Tokens at the start of the prompt that the engine need not prefill. */
+  cachedTokens(engine: EngineState): number {
+    const memoized = this.tokensByEngine.get(engine);
+    if (memoized !== undefined) return memoized;
     const cached = engine.cachedTokens(this.parts);
-    this.known.set(engine, cached);
+    this.tokensByEngine.set(engine, cached);
     return cached;
   }
 
-  /** The engine among these that holds most; undefined if none holds any. */
-  donor(engines: readonly EngineState[]): Donor | undefined {
+  /**
+   * The engine with the most transferable tokens; undefined if none has any.
+   */
+  findDonor(engines: readonly EngineState[]): Donor | undefined {
     let best: Donor | undefined;
     for (const engine of engines) {
-      const cached = engine.heldTokens(this.parts);
+      const cached = engine.transferableTokens(this.parts);
       if (cached > (best?.cached ?? 0)) best = { engine, cached };
     }
     return best;
--- a/src/scheduling/runPlanner.ts
+++ b/src/scheduling/runPlanner.ts
@@ -1,43 +1,43 @@
-/** Which engine makes the tokens of a request. Pure. */
+/** Chooses the engine that decodes a request. Pure. */
 import type { AnswerLength } from "./engineRuns.js";
 import type { EngineState } from "./engineState.js";
-import type { PlacementAsk } from "./types.js";
+import type { PlacementRequest } from "./types.js";
 
-/** Runs of at least this many tokens are packed. */
+/** Runs with at least this many output tokens are packed onto few engines. */
 const LONG_OUTPUT_TOKENS = 512;
 /**
- * Packed engines are filled up to this share of slots or memory: beyond it
- * each step takes so much longer that the longest streams miss their time.
+ * Share of slots or memory up to which engines are packed. Beyond it, each
+ * step takes so much longer that the longest streams miss their deadline.
  */
 const PACK_LOAD = 0.6;
-/** Cost of a certain deadline miss, in full engines. */
+/** Cost of a certain deadline miss; a full engine costs 1. */
 const MISS_WEIGHT = 2;
-/** Engines in another failure domain count as this much busier, share of slots. */
-const OTHER_DOMAIN_COST = 0.02;
+/** Load added for engines in another failure domain, as a share of slots. */
+const CROSS_DOMAIN_COST = 0.02;
 /** Share of the KV memory that running requests may take. */
 const RUN_MEMORY_SHARE = 0.92;
-/** Reading ahead of it counts as a full engine at this much, ms. */
+/** Prefill backlog that costs as much as a full engine, ms. */
 const FULL_BACKLOG_MS = 1000;
 
 /** A run to be assigned to an engine. */
 export interface PlannedRun {
-  ask: PlacementAsk;
+  request: PlacementRequest;
   /** Number of schedulers that place on these engines independently. */
-  share: number;
+  schedulerCount: number;
   length: AnswerLength;
 }
 
 /**
- * The decode engine that suits the run best; undefined if all are full.
+ * Chooses the decode engine with the lowest cost; undefined if all are full.
  */
 export const chooseRunner = (
   run: PlannedRun,
-  open: readonly EngineState[],
+  available: readonly EngineState[],
   now: number,
 ): EngineState | undefined => {
   let best: { engine: EngineState; cost: number } | undefined;
-  for (const engine of open) {
-    const load = loadWith(run.ask, engine, run.share);
+  for (const engine of available) {
+    const load = loadWith(run.request, engine, run.schedulerCount);
     if (load === undefined) continue;
     const cost = costOf(run, engine, load, now);
     if (best === undefined || cost < best.cost) best = { engine, cost };
@@ -46,67 +46,73 @@
 };
 
 /**
- * False if engines have room, but on each of them a long run would add more
- * than one expected deadline miss, its own included.
+ * False if some engines have capacity, but a long run would add more than one
+ * expected deadline miss on each of them, its own included.
  */
 export const isAdmissible = (
   run: PlannedRun,
-  open: readonly EngineState[],
+  available: readonly EngineState[],
 ): boolean => {
-  const { ask, share, length } = run;
-  if (ask.outputTokens < LONG_OUTPUT_TOKENS) return true;
-  const tokens = ask.promptTokens + ask.outputTokens;
-  const roomy = open.filter((engine) => hasRoom(ask, engine, share));
+  const { request, schedulerCount, length } = run;
+  if (request.outputTokens < LONG_OUTPUT_TOKENS) return true;
+  const tokens = request.promptTokens + request.outputTokens;
+  const withCapacity = available.filter((engine) =>
+    hasCapacity(request, engine, schedulerCount),
+  );
   return (
-    roomy.length === 0 ||
-    roomy.some((engine) => {
-      const misses = engine.runs.expectMisses(tokens, length);
+    withCapacity.length === 0 ||
+    withCapacity.some((engine) => {
+      const misses = engine.runs.estimateMisses(tokens, length);
       return misses === undefined || misses.own + misses.others <= 1;
     })
   );
 };
 
-/** Whether the engine makes tokens and has room for the run. */
-export const hasRoom = (
-  ask: PlacementAsk,
+/** Whether the engine is a decode engine with capacity for the run. */
+export const hasCapacity = (
+  request: PlacementRequest,
   engine: EngineState,
-  share: number,
-): boolean => loadWith(ask, engine, share) !== undefined;
+  schedulerCount: number,
+): boolean => loadWith(request, engine, schedulerCount) !== undefined;
 
-/** Share of slots or memory in use with the run; undefined if too much. */
+/**
+ * The larger of the share of slots in use before the run and the share of
+ * memory in use with it. Undefined if the run does not fit; a run larger than
+ * the memory fits on an idle engine.
+ */
 const loadWith = (
-  ask: PlacementAsk,
+  request: PlacementRequest,
   engine: EngineState,
-  share: number,
+  schedulerCount: number,
 ): number | undefined => {
   const { slots, kvCapacityTokens, stage } = engine.view;
   if (stage !== "decode") return undefined;
-  const runs = engine.runCount * share;
+  const runs = engine.runCount * schedulerCount;
   if (runs + 1 > slots) return undefined;
-  const needed = ask.promptTokens + ask.outputTokens;
-  const tokens = engine.runTokens * share + needed;
+  const needed = request.promptTokens + request.outputTokens;
+  const tokens = engine.runTokens * schedulerCount + needed;
   const memory = tokens / (kvCapacityTokens * RUN_MEMORY_SHARE);
   if (memory > 1 && engine.runCount > 0) return undefined;
   return Math.max(runs / slots, memory);
 };
 
 /**
- * Short runs go to the least loaded engine. Long ones fill one engine after
- * the other, so that the rest can change their stage without a wait, and
- * read without slowing streams. An engine costs more the more likely the run
- * is to miss its deadline there.
+ * Cost of placing a run on an engine. Short runs go to the least loaded engine.
+ * Long runs fill one engine after another, so that the others can change their
+ * stage without waiting, and can prefill without slowing streams. The cost
+ * grows with the probability that the run misses its deadline there.
  */
 const costOf = (
-  { ask, length }: PlannedRun,
+  { request, length }: PlannedRun,
   engine: EngineState,
   load: number,
   now: number,
 ): number => {
-  const away = engine.view.domain === ask.domain ? 0 : OTHER_DOMAIN_COST;
-  const reading = engine.backlogMs(now) / FULL_BACKLOG_MS;
-  if (ask.outputTokens < LONG_OUTPUT_TOKENS) return load + away + reading;
+  const away = engine.view.domain === request.domain ? 0 : CROSS_DOMAIN_COST;
+  const backlog = engine.backlogMs(now) / FULL_BACKLOG_MS;
+  if (request.outputTokens < LONG_OUTPUT_TOKENS) return load + away + backlog;
   const packed = load <= PACK_LOAD ? 1 - load : 1 + load;
-  const tokens = ask.promptTokens + ask.outputTokens;
-  const missChance = engine.runs.expectMisses(tokens, length)?.own ?? 0;
-  return packed + away + reading + missChance * MISS_WEIGHT;
+  const tokens = request.promptTokens + request.outputTokens;
+  const missProbability = engine.runs.estimateMisses(tokens, length)?.own ?? 0;
+  return packed + away + backlog + missProbability * MISS_WEIGHT;
 };
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -1,8 +1,8 @@
 /**
- * Where a model request is read and run, and whether it is served at all.
- * Pure: asks and events with a clock in, answers out. One scheduler serves
- * all entries of a service while it can be reached; each entry has one of
- * its own for the time when it can't.
+ * Admits model requests and chooses the engines that prefill and decode them.
+ * Pure: takes requests, events and the current time, and returns answers. One
+ * scheduler serves all entries of a service while it is reachable; each entry
+ * falls back to its ownPlan scheduler when it is not.
  */
 import { NO_LIMITS } from "../rateLimits/index.js";
 import type { EnginePermits } from "../rateLimits/index.js";
@@ -10,112 +10,125 @@
 import { RunningMean } from "../shared/runningMean.js";
 import { EnginePool } from "./enginePool.js";
 import type { EngineState } from "./engineState.js";
-import { permitGapMs, readingEngines } from "./limitedEngines.js";
+import { permitIntervalMs, effectivePrefillEngines } from "./permitCapacity.js";
 import { PlacedRequests } from "./placedRequests.js";
-import { keyedPart, PromptCache } from "./promptCache.js";
-import { planOwnRead, planRead } from "./readPlanner.js";
-import type { ReadPlan } from "./readPlanner.js";
-import { ReadPace, workOf } from "./readPace.js";
+import { keyedPart, PromptCacheLookup } from "./promptCache.js";
+import { planDecodePrefill, planPrefill } from "./prefillPlanner.js";
+import type { PrefillPlan } from "./prefillPlanner.js";
+import { PrefillTimeModel, prefillWorkOf } from "./prefillTimeModel.js";
 import { refuse } from "./refusals.js";
-import { chooseRunner, hasRoom, isAdmissible } from "./runPlanner.js";
+import { chooseRunner, hasCapacity, isAdmissible } from "./runPlanner.js";
 import type { PlannedRun } from "./runPlanner.js";
-import { NO_LOAD } from "./schedulerLoad.js";
-import type { SchedulerLoad } from "./schedulerLoad.js";
+import { NO_DEMAND } from "./demandTotals.js";
+import type { DemandTotals } from "./demandTotals.js";
 import { SizeFairness } from "./sizeFairness.js";
-import { TokenPace } from "./tokenPace.js";
+import { TokenTimeModel } from "./tokenTimeModel.js";
 import { STAGES } from "./types.js";
 import type {
   EngineView,
   Grant,
   HeldPart,
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementEvent,
   Queued,
   RefusalCause,
 } from "./types.js";
 import { WaitQueue } from "./waitQueue.js";
-import type { ReadingLoad, WaitingAsk } from "./waitQueue.js";
+import type { PrefillLoad, QueuedRequest } from "./waitQueue.js";
 
 /**
- * Time of the hops between the end of a read and the caller, ms. Prompts that
- * the runner reads in less are not worth the hops to another engine.
+ * Time of the network hops between the end of a prefill and the caller, ms.
+ * Prompts that the runner can prefill in less time are not worth the hops to
+ * another engine.
  */
-const HOPS_MS = 16;
-const MEAN_READ_GAIN = 0.02;
+const NETWORK_HOPS_MS = 16;
+/** Weight of a new value in the running mean of prefill times. */
+const MEAN_PREFILL_GAIN = 0.02;
 /**
- * Part of the objective in which an answer is planned: those that begin last
- * would else miss it by the error of the estimate.
+ * Share of the latency objective used for planning. The margin covers
+ * estimation errors, by which the last answers to start would otherwise miss
+ * the objective.
  */
-const OBJECTIVE_PART = 0.85;
-/** One token of output counts as this many of the prompt in a size. */
+const OBJECTIVE_SHARE = 0.85;
+/** Weight of an output token in the size of a request, in prompt tokens. */
 const OUTPUT_WEIGHT = 10;
 /**
- * An engine gets a prompt when it will have read the rest by then, ms: four
- * times the hops, which is as far as news of it and the answer to them may
- * lag. More would fix the order, and the engine, too early; with less it
- * stands idle.
+ * Largest backlog at which an engine is given another prompt, ms. Reports from
+ * the engine and the response to them may lag by up to four times the hop time.
+ * A larger limit fixes the order and the engine too early; with a smaller one
+ * engines stand idle.
  */
-const START_AHEAD_MS = 4 * HOPS_MS;
-/** Requests that are looked at for engines that come free. */
-const LOOK_AHEAD = 16;
-/** Time constant of the rate of urgent reading, ms. */
-const RATE_MEMORY_MS = 1000;
+const MAX_DISPATCH_BACKLOG_MS = 4 * NETWORK_HOPS_MS;
+/** Number of queued requests considered when engines become free. */
+const MAX_DISPATCH_CANDIDATES = 16;
+/** Time constant of the rate of on-time prefill work, ms. */
+const RATE_TIME_CONSTANT_MS = 1000;
 
-/** The late answer to a request that was queued. */
-export interface Settled {
+/** The final answer to a request that was queued. */
+export interface QueuedAnswer {
   id: string;
   answer: PlacementAnswer;
 }
 
-/** What there is to choose from for one request. */
-interface Choice {
-  ask: PlacementAsk;
-  cache: PromptCache;
-  open: readonly EngineState[];
+/** The engines available for one request. */
+interface Candidates {
+  request: PlacementRequest;
+  cache: PromptCacheLookup;
+  available: readonly EngineState[];
   now: number;
 }
 
-/** Reading that is meant for engines and not given to them yet, ms. */
-type MeantReads = Map<EngineState, number>;
+/** Prefill time planned on engines for requests that stay queued, ms. */
+type ReservedPrefill = Map<EngineState, number>;
 
-const sizeOf = (ask: PlacementAsk): number =>
-  ask.promptTokens + OUTPUT_WEIGHT * ask.outputTokens;
+const sizeOf = (request: PlacementRequest): number =>
+  request.promptTokens + OUTPUT_WEIGHT * request.outputTokens;
 
-/** The ask as it stands after its wait. */
-const aged = ({ ask, arrivedAt }: WaitingAsk, now: number): PlacementAsk => ({
-  ...ask,
-  objectiveLeftMs: ask.objectiveLeftMs - (now - arrivedAt),
-  deadlineLeftMs: ask.deadlineLeftMs - (now - arrivedAt),
+/** The request with its time in the queue deducted from the time left. */
+const withWaitDeducted = (
+  { request, queuedAt }: QueuedRequest,
+  now: number,
+): PlacementRequest => ({
+  ...request,
+  objectiveLeftMs: request.objectiveLeftMs - (now - queuedAt),
+  deadlineLeftMs: request.deadlineLeftMs - (now - queuedAt),
 });
 
-/** Whether none of these reads, or none makes tokens. */
-const lacksStage = (open: readonly EngineState[]): boolean =>
-  new Set(open.map((item) => item.view.stage)).size < STAGES.length;
+/** Whether there is no prefill engine or no decode engine among these. */
+const isMissingStage = (engines: readonly EngineState[]): boolean =>
+  new Set(engines.map((item) => item.view.stage)).size < STAGES.length;
 
 export class EngineScheduler {
   readonly fairness = new SizeFairness();
-  private readonly placed = new PlacedRequests((ask) =>
-    this.fairness.uncountServed(ask.route, sizeOf(ask)),
+  private readonly placed = new PlacedRequests((request) =>
+    this.fairness.revertServed(request.route, sizeOf(request)),
   );
   private readonly queue = new WaitQueue();
-  /** Mean time to read the prompts that were asked for, ms. */
-  private readonly meanReadMs = new RunningMean(MEAN_READ_GAIN);
-  /** Urgent reading that was given out, ms. */
-  private readonly urgentMs = new DecayingSum(RATE_MEMORY_MS);
-  readonly asked: SchedulerLoad = { ...NO_LOAD };
-  readonly pace = new ReadPace();
+  /** Mean expected prefill time of requested prompts, ms. */
+  private readonly meanPrefillMs = new RunningMean(MEAN_PREFILL_GAIN);
+  /** Prefill work assigned to engines for answers that can be on time, ms. */
+  private readonly onTimePrefillMs = new DecayingSum(RATE_TIME_CONSTANT_MS);
+  readonly demandTotals: DemandTotals = { ...NO_DEMAND };
+  readonly prefillModel = new PrefillTimeModel();
   private readonly engines: EnginePool;
 
-  /** `share`: how many schedulers place on these engines without talking. */
+  /**
+   * `schedulerCount`: how many schedulers place on these engines without
+   * coordination.
+   */
   constructor(
-    private share: () => number,
+    private schedulerCount: () => number,
     private readonly permits: EnginePermits = NO_LIMITS,
   ) {
-    this.engines = new EnginePool(this.pace, new TokenPace(), permits);
+    this.engines = new EnginePool(
+      this.prefillModel,
+      new TokenTimeModel(),
+      permits,
+    );
   }
 
-  /** The engines that may get work; others keep what they run. */
+  /** Sets the engines that may be assigned work; others keep their runs. */
   setEngines(views: readonly EngineView[]): void {
     this.engines.set(views);
   }
@@ -124,289 +137,363 @@
     return this.engines.all();
   }
 
-  /** Closes an engine, which changes its stage, until an instant. */
-  close(id: string, until: number): void {
-    this.engines.close(id, until);
+  /**
+   * Assigns no work to an engine until the given time, e.g. during a stage
+   * change.
+   */
+  suspendEngine(id: string, until: number): void {
+    this.engines.suspend(id, until);
   }
 
-  /** How many requests wait for an engine. */
-  get waiting(): number {
+  /** Number of requests waiting for an engine. */
+  get queueLength(): number {
     return this.queue.size;
   }
 
-  place(ask: PlacementAsk, now: number): PlacementAnswer | Queued {
-    this.pace.guess(ask.objectiveLeftMs, ask.promptTokens);
-    const answer = this.admit(ask, now);
-    if (ask.avoid.length === 0) {
+  /** Places, queues or refuses a request. */
+  place(request: PlacementRequest, now: number): PlacementAnswer | Queued {
+    this.prefillModel.estimateFromObjective(
+      request.objectiveLeftMs,
+      request.promptTokens,
+    );
+    const answer = this.admit(request, now);
+    if (request.avoid.length === 0) {
       const isServed = answer.kind !== "refused";
-      this.fairness.count(ask.route, sizeOf(ask), isServed);
+      this.fairness.count(request.route, sizeOf(request), isServed);
     }
     return answer;
   }
 
-  /** Answers of requests that waited, as far as there are any now. */
-  settle(now: number): Settled[] {
+  /** Returns the answers to queued requests that can start or have expired. */
+  answerQueued(now: number): QueuedAnswer[] {
     if (this.queue.size === 0) return [];
-    const settled: Settled[] = this.queue.takeHopeless(now).map(({ ask }) => {
-      this.fairness.uncountServed(ask.route, sizeOf(ask));
-      return { id: ask.id, answer: refuse(ask, "too-late") };
-    });
-    if (!this.hasIdleReader(now)) return settled;
-    const meant: MeantReads = new Map();
-    for (const item of this.queue.first(LOOK_AHEAD)) {
-      const choice = this.choiceFor(aged(item, now), now);
-      const { ask, cache, open } = choice;
-      const plan = planRead(ask, cache, open, now, meant);
-      const answer = this.start(choice, plan);
+    const answers: QueuedAnswer[] = this.queue
+      .removeExpired(now)
+      .map(({ request }) => {
+        this.fairness.revertServed(request.route, sizeOf(request));
+        return { id: request.id, answer: refuse(request, "too-late") };
+      });
+    if (!this.hasIdlePrefillEngine(now)) return answers;
+    const reserved: ReservedPrefill = new Map();
+    for (const item of this.queue.peek(MAX_DISPATCH_CANDIDATES)) {
+      const candidates = this.candidatesFor(withWaitDeducted(item, now), now);
+      const { request, cache, available } = candidates;
+      const plan = planPrefill(request, cache, available, now, reserved);
+      const answer = this.tryGrant(candidates, plan);
       if (answer !== undefined) {
-        this.queue.begin(item, now);
-        const waitedMs = now - item.arrivedAt;
-        settled.push({ id: ask.id, answer: { ...answer, waitedMs } });
+        this.queue.dequeue(item, now);
+        const waitedMs = now - item.queuedAt;
+        answers.push({ id: request.id, answer: { ...answer, waitedMs } });
       } else if (plan !== undefined) {
-        const before = meant.get(plan.engine) ?? 0;
-        meant.set(plan.engine, before + plan.costMs);
+        const before = reserved.get(plan.engine) ?? 0;
+        reserved.set(plan.engine, before + plan.costMs);
       }
     }
-    return settled;
+    return answers;
   }
 
-  /** Starts it, lets it wait, or refuses it. */
-  private admit(ask: PlacementAsk, now: number): PlacementAnswer | Queued {
-    const choice = this.choiceFor(ask, now);
-    const { cache, open } = choice;
-    const plan = planRead(ask, cache, open, now);
+  private admit(
+    request: PlacementRequest,
+    now: number,
+  ): PlacementAnswer | Queued {
+    const candidates = this.candidatesFor(request, now);
+    const { cache, available } = candidates;
+    const plan = planPrefill(request, cache, available, now);
     const costMs = plan?.costMs ?? 0;
-    if (!ask.isReturn) this.countAsked(ask, costMs, now);
-    if (costMs > 0) this.meanReadMs.add(costMs);
-    // Retries, callers that return after a refusal, and sizes that lag behind
-    // their route skip this check.
-    const isFirstTry = !ask.isReturn && ask.avoid.length === 0;
-    const isBehind = this.fairness.lags(ask.route, sizeOf(ask));
-    const mayRefuse = isFirstTry && !isBehind;
-    if (mayRefuse && !isAdmissible(this.plannedRun(ask), open)) {
-      return refuse(ask, "slots");
+    if (!request.isReturn) this.addDemand(request, costMs, now);
+    if (costMs > 0) this.meanPrefillMs.add(costMs);
+    // Retries, callers that return after a refusal, and request sizes that are
+    // underserved on their route skip this check.
+    const isFirstTry = !request.isReturn && request.avoid.length === 0;
+    const isUnderserved = this.fairness.isUnderserved(
+      request.route,
+      sizeOf(request),
+    );
+    const mayRefuse = isFirstTry && !isUnderserved;
+    if (mayRefuse && !isAdmissible(this.plannedRun(request), available)) {
+      return refuse(request, "slots");
     }
-    const item = this.waitingAsk(ask, costMs, now);
-    const grant = this.queue.hasBefore(item)
+    const item = this.toQueuedRequest(request, costMs, now);
+    const grant = this.queue.hasMoreUrgent(item)
       ? undefined
-      : this.start(choice, plan);
+      : this.tryGrant(candidates, plan);
     if (grant !== undefined) return grant;
-    // Waiting ends no back-off: the caller hears at once when to come back.
-    const fit = this.engines.fit(ask, now);
-    if (ask.unavailable.length > 0 && lacksStage(fit)) {
-      return refuse(ask, "no-engine");
+    // Waiting does not end a back-off, so the caller is told at once when to
+    // retry.
+    const eligible = this.engines.eligibleFor(request, now);
+    if (request.unavailable.length > 0 && isMissingStage(eligible)) {
+      return refuse(request, "no-engine");
     }
-    const load = this.readingLoad(ask, fit, now);
-    if (!this.queue.mayWait(item, load, now)) {
-      const waitMs = load.roomMs * (this.queue.size + 1);
-      return refuse(ask, this.whyNot(open, fit), waitMs);
+    const load = this.prefillLoad(request, eligible, now);
+    if (!this.queue.canQueue(item, load, now)) {
+      const waitMs = load.capacityWaitMs * (this.queue.size + 1);
+      return refuse(request, this.refusalCause(available, eligible), waitMs);
     }
     this.queue.add(item, now);
     return { kind: "queued" };
   }
 
-  private choiceFor(ask: PlacementAsk, now: number): Choice {
-    const open = this.engines.open(ask, now);
-    return { ask, open, now, cache: new PromptCache(ask) };
+  private candidatesFor(request: PlacementRequest, now: number): Candidates {
+    const available = this.engines.availableFor(request, now);
+    return { request, available, now, cache: new PromptCacheLookup(request) };
   }
 
-  private plannedRun(ask: PlacementAsk): PlannedRun {
-    return { ask, share: this.share(), length: this.placed.lengthOf(ask) };
+  private plannedRun(request: PlacementRequest): PlannedRun {
+    return {
+      request,
+      schedulerCount: this.schedulerCount(),
+      length: this.placed.lengthOf(request),
+    };
   }
 
-  private countAsked(ask: PlacementAsk, costMs: number, now: number): void {
-    const { asked } = this;
-    const runMs = this.placed.runPace.expectMs(ask.outputTokens, now);
-    asked.readMs += costMs;
-    asked.runMs += runMs;
-    asked.runTokenMs += runMs * (ask.promptTokens + ask.outputTokens);
+  private addDemand(
+    request: PlacementRequest,
+    costMs: number,
+    now: number,
+  ): void {
+    const { demandTotals } = this;
+    const runMs = this.placed.runTimes.estimateMs(request.outputTokens, now);
+    demandTotals.prefillMs += costMs;
+    demandTotals.runMs += runMs;
+    demandTotals.runTokenMs +=
+      runMs * (request.promptTokens + request.outputTokens);
   }
 
-  private waitingAsk(
-    ask: PlacementAsk,
+  private toQueuedRequest(
+    request: PlacementRequest,
     costMs: number,
     now: number,
-  ): WaitingAsk {
-    const needMs = costMs + this.afterReadMs;
-    const objectiveMs = ask.objectiveLeftMs * OBJECTIVE_PART;
-    const inTimeUntil = now + objectiveMs - needMs;
-    const latestStartAt = now + ask.deadlineLeftMs - needMs;
-    // Where the large ones fall behind, they wait as the others do.
-    const isBehind =
-      costMs > this.meanReadMs.value &&
-      this.fairness.lags(ask.route, sizeOf(ask));
-    const usualMs = this.meanReadMs.value + this.afterReadMs;
-    const usualUntil = now + objectiveMs - usualMs;
+  ): QueuedRequest {
+    const needMs = costMs + this.afterPrefillMs;
+    const objectiveMs = request.objectiveLeftMs * OBJECTIVE_SHARE;
+    const ownOnTimeUntil = now + objectiveMs - needMs;
+    const latestStartAt = now + request.deadlineLeftMs - needMs;
+    // Underserved large requests get the on-time limit of an average request.
+    const isUnderserved =
+      costMs > this.meanPrefillMs.value &&
+      this.fairness.isUnderserved(request.route, sizeOf(request));
+    const meanNeedMs = this.meanPrefillMs.value + this.afterPrefillMs;
+    const meanOnTimeUntil = now + objectiveMs - meanNeedMs;
     return {
-      ask,
+      request,
       costMs,
-      arrivedAt: now,
-      inTimeUntil: isBehind ? usualUntil : inTimeUntil,
+      queuedAt: now,
+      onTimeUntil: isUnderserved ? meanOnTimeUntil : ownOnTimeUntil,
       latestStartAt,
     };
   }
 
-  private whyNot(
-    open: readonly EngineState[],
-    fit: readonly EngineState[],
+  private refusalCause(
+    available: readonly EngineState[],
+    eligible: readonly EngineState[],
   ): RefusalCause {
-    const share = this.share();
-    if (lacksStage(fit)) return "no-engine";
-    if (lacksStage(open)) return "limited";
-    const runners = open.filter((item) => item.view.stage === "decode");
+    const schedulerCount = this.schedulerCount();
+    if (isMissingStage(eligible)) return "no-engine";
+    if (isMissingStage(available)) return "limited";
+    const runners = available.filter((item) => item.view.stage === "decode");
     const hasSlot = runners.some(
-      (item) => item.runCount * share + 1 <= item.view.slots,
+      (item) => item.runCount * schedulerCount + 1 <= item.view.slots,
     );
     if (!hasSlot) return "slots";
     return "too-late";
   }
 
   /**
-   * Its grant, if engines can begin it soon; `plan`: the best engine to read
-   * it apart.
+   * Grants the request if engines can start it soon. `plan`: the best prefill
+   * engine, if there is one.
    */
-  private start(choice: Choice, plan: ReadPlan | undefined): Grant | undefined {
-    const { ask, open, cache, now } = choice;
-    const share = this.share();
-    const runner = chooseRunner(this.plannedRun(ask), open, now);
+  private tryGrant(
+    candidates: Candidates,
+    plan: PrefillPlan | undefined,
+  ): Grant | undefined {
+    const { request, available, cache, now } = candidates;
+    const schedulerCount = this.schedulerCount();
+    const runner = chooseRunner(this.plannedRun(request), available, now);
     if (runner === undefined) return undefined;
-    const restMs = runner.readCostMs(ask.promptTokens, cache.at(runner));
-    if (restMs <= HOPS_MS && runner.backlogMs(now) <= START_AHEAD_MS) {
-      this.asked.restMs += restMs;
-      return this.give(choice, undefined, runner);
+    const remainderMs = runner.prefillCostMs(
+      request.promptTokens,
+      cache.cachedTokens(runner),
+    );
+    if (
+      remainderMs <= NETWORK_HOPS_MS &&
+      runner.backlogMs(now) <= MAX_DISPATCH_BACKLOG_MS
+    ) {
+      this.demandTotals.decodePrefillMs += remainderMs;
+      return this.grantWithPermits(candidates, undefined, runner);
     }
-    const limitMs = ask.objectiveLeftMs - this.afterReadMs;
-    if (plan !== undefined && plan.endMs - plan.costMs <= START_AHEAD_MS) {
-      if (plan.endMs <= limitMs) this.urgentMs.add(plan.costMs, now);
-      return this.give(choice, plan, runner);
+    const limitMs = request.objectiveLeftMs - this.afterPrefillMs;
+    if (
+      plan !== undefined &&
+      plan.endMs - plan.costMs <= MAX_DISPATCH_BACKLOG_MS
+    ) {
+      if (plan.endMs <= limitMs) this.onTimePrefillMs.add(plan.costMs, now);
+      return this.grantWithPermits(candidates, plan, runner);
     }
-    const roomy = open.filter((other) => hasRoom(ask, other, share));
-    const own = planOwnRead(ask, cache, roomy, open, limitMs, now);
-    return own && this.give(choice, own, own.engine);
+    const withCapacity = available.filter((other) =>
+      hasCapacity(request, other, schedulerCount),
+    );
+    const ownPlan = planDecodePrefill(
+      request,
+      cache,
+      withCapacity,
+      available,
+      limitMs,
+      now,
+    );
+    return (
+      ownPlan && this.grantWithPermits(candidates, ownPlan, ownPlan.engine)
+    );
   }
 
-  /** Grants it, and uses a permit of each engine that gets a request. */
-  private give(
-    choice: Choice,
-    plan: ReadPlan | undefined,
+  /** Grants the request and takes a permit from each engine that it uses. */
+  private grantWithPermits(
+    candidates: Candidates,
+    plan: PrefillPlan | undefined,
     runner: EngineState,
   ): Grant {
     const engines = new Set([plan?.engine ?? runner, runner]);
-    for (const { view } of engines) this.permits.acquire(view.id, choice.now);
-    return this.grant(choice, plan, runner);
+    for (const { view } of engines)
+      this.permits.acquire(view.id, candidates.now);
+    return this.recordGrant(candidates, plan, runner);
   }
 
-  private hasIdleReader(now: number): boolean {
+  private hasIdlePrefillEngine(now: number): boolean {
     return this.engines
-      .readers(now)
-      .some((engine) => engine.backlogMs(now) <= START_AHEAD_MS);
+      .prefillEngines(now)
+      .some((engine) => engine.backlogMs(now) <= MAX_DISPATCH_BACKLOG_MS);
   }
 
   /**
-   * Of the engines that may read it: what the others do shortens no wait.
-   * `fit`: those that may get it, also where they take no more for a moment.
+   * Load on the prefill engines that may get the request; other engines do not
+   * shorten its wait. `eligible`: engines of both stages that may get it,
+   * including those at their rate limit.
    */
-  private readingLoad(
-    ask: PlacementAsk,
-    fit: readonly EngineState[],
+  private prefillLoad(
+    request: PlacementRequest,
+    eligible: readonly EngineState[],
     now: number,
-  ): ReadingLoad {
+  ): PrefillLoad {
     const { permits } = this;
     const readers = this.engines
-      .readers(now)
-      .filter(({ view }) => !ask.unavailable.includes(view.id));
-    const meanReadMs = this.meanReadMs.value;
-    const engines = readingEngines(readers, permits, meanReadMs, now);
+      .prefillEngines(now)
+      .filter(({ view }) => !request.unavailable.includes(view.id));
+    const meanPrefillMs = this.meanPrefillMs.value;
+    const engines = effectivePrefillEngines(
+      readers,
+      permits,
+      meanPrefillMs,
+      now,
+    );
     const backlog = readers.reduce((sum, item) => sum + item.backlogMs(now), 0);
-    const roomy = fit.filter((item) => hasRoom(ask, item, this.share()));
-    const fullMs = roomy.length > 0 ? 0 : 1 / this.placed.endRate(now);
+    const withCapacity = eligible.filter((item) =>
+      hasCapacity(request, item, this.schedulerCount()),
+    );
+    const fullMs = withCapacity.length > 0 ? 0 : 1 / this.placed.endRate(now);
     const permitMs = Math.max(
-      permitGapMs(readers, permits, now),
-      permitGapMs(roomy, permits, now),
+      permitIntervalMs(readers, permits, now),
+      permitIntervalMs(withCapacity, permits, now),
     );
     return {
       engines,
       backlogMs: backlog / Math.max(1, readers.length),
-      urgentShare: this.urgentMs.rate(now) / Math.max(1, engines),
-      roomMs: Math.max(fullMs, permitMs),
+      onTimeShare: this.onTimePrefillMs.rate(now) / Math.max(1, engines),
+      capacityWaitMs: Math.max(fullMs, permitMs),
     };
   }
 
-  /** From the end of a read to the first event at the caller, ms. */
-  private get afterReadMs(): number {
-    return this.placed.firstEventMs + HOPS_MS;
+  /**
+   * Expected time from the end of a prefill to the first event at the caller,
+   * ms.
+   */
+  private get afterPrefillMs(): number {
+    return this.placed.firstEventMs + NETWORK_HOPS_MS;
   }
 
   /**
-   * Takes over a grant that another scheduler has given; `isRead`: an engine
-   * has read its prompt, which nobody will report any more. Counted as under
-   * way, such reads would keep the engines of a new holder from work for
-   * seconds.
+   * Takes over a grant from another scheduler. `isRead`: the prefill has ended
+   * and will not be reported again. If such prefills counted as outstanding,
+   * a new lease holder would assign no work to their engines for seconds.
    */
-  adopt(ask: PlacementAsk, grant: Grant, isRead: boolean, now: number): void {
+  adoptGrant(
+    request: PlacementRequest,
+    grant: Grant,
+    isRead: boolean,
+    now: number,
+  ): void {
     const runner = this.engines.get(grant.runner);
-    if (runner === undefined || this.placed.has(ask.id)) return;
+    if (runner === undefined || this.placed.has(request.id)) return;
     const engine = grant.reader ? this.engines.get(grant.reader) : undefined;
-    const cache = new PromptCache(ask);
+    const cache = new PromptCacheLookup(request);
     if (isRead) {
       const { parts } = cache;
-      engine?.remember(parts);
-      return this.placed.add(ask, { reader: undefined, runner, parts }, now);
+      engine?.markCached(parts);
+      return this.placed.add(
+        request,
+        { reader: undefined, runner, parts },
+        now,
+      );
     }
-    const choice = { ask, cache, open: [], now };
-    if (engine === undefined) return void this.grant(choice, undefined, runner);
-    const cached = cache.at(engine);
-    const costMs = engine.readCostMs(ask.promptTokens, cached);
+    const candidates = { request, cache, available: [], now };
+    if (engine === undefined)
+      return void this.recordGrant(candidates, undefined, runner);
+    const cached = cache.cachedTokens(engine);
+    const costMs = engine.prefillCostMs(request.promptTokens, cached);
     const endMs = engine.backlogMs(now) + costMs;
     const plan = { engine, cached, costMs, endMs, donor: undefined };
-    this.grant(choice, plan, runner);
+    this.recordGrant(candidates, plan, runner);
   }
 
-  /** An engine says that it holds these parts. */
-  learnCache(engine: string, held: readonly HeldPart[]): void {
+  /** Records the prompt parts that an engine reports as cached. */
+  recordCachedParts(engine: string, held: readonly HeldPart[]): void {
     const parts = held.map(({ model, ...part }) => keyedPart(model, part));
-    this.engines.get(engine)?.remember(parts);
+    this.engines.get(engine)?.markCached(parts);
   }
 
   onEvent(event: PlacementEvent, now: number): void {
-    // The list of engines lacks it from now on.
+    // The engine list no longer contains it.
     if (event.kind === "leaving") return;
     if (event.kind === "wrong-stage") {
-      return this.engines.doubt(event.engine, now);
+      return this.engines.suspendForStageMismatch(event.engine, now);
     }
     if (event.kind === "silent") {
-      return this.engines.get(event.engine)?.noteSilent(now);
+      return this.engines.get(event.engine)?.recordUnresponsive(now);
     }
     if (this.placed.has(event.id)) {
-      return this.placed.onEvent(event, this.share() === 1, now);
+      return this.placed.onEvent(event, this.schedulerCount() === 1, now);
     }
-    if (event.kind === "ended") this.queue.drop(event.id);
+    if (event.kind === "ended") this.queue.remove(event.id);
   }
 
-  /** Drops what was never reported on; returns the number of runs dropped. */
+  /**
+   * Drops work whose end was never reported; returns the number of runs
+   * dropped.
+   */
   expire(now: number): number {
     this.placed.expire(now);
     return this.engines.expire(now);
   }
 
-  /** `plan`: absent where the runner reads a short rest by the way. */
-  private grant(
-    { ask, cache, now }: Choice,
-    plan: ReadPlan | undefined,
+  /**
+   * `plan`: undefined if the runner prefills a short uncached remainder itself.
+   */
+  private recordGrant(
+    { request, cache, now }: Candidates,
+    plan: PrefillPlan | undefined,
     runner: EngineState,
   ): Grant {
     const reader = plan?.engine ?? runner;
     const { parts } = cache;
-    const cached = plan?.cached ?? cache.at(reader);
-    const costMs = plan?.costMs ?? reader.readCostMs(ask.promptTokens, cached);
-    const work = workOf(ask.promptTokens, cached);
-    reader.addRead(ask.id, work, costMs * this.share(), now);
-    reader.expect(parts);
-    const apart = reader === runner ? undefined : reader;
-    this.placed.add(ask, { reader: apart, runner, parts }, now);
+    const cached = plan?.cached ?? cache.cachedTokens(reader);
+    const costMs =
+      plan?.costMs ?? reader.prefillCostMs(request.promptTokens, cached);
+    const work = prefillWorkOf(request.promptTokens, cached);
+    reader.addPrefill(request.id, work, costMs * this.schedulerCount(), now);
+    reader.markPending(parts);
+    const separateReader = reader === runner ? undefined : reader;
+    this.placed.add(request, { reader: separateReader, runner, parts }, now);
     return {
       kind: "granted",
-      reader: apart?.view.id,
+      reader: separateReader?.view.id,
       runner: runner.view.id,
       donor: plan?.donor?.view.id,
       readMs: plan?.endMs ?? 0,
--- a/src/scheduling/sizeFairness.ts
+++ b/src/scheduling/sizeFairness.ts
@@ -1,32 +1,35 @@
 /**
- * Whether the large requests of a route are served about as often as the
- * rest. Long prompts rarely fit the objective in a burst; without this they
- * would hardly be served at all. Pure.
+ * Tracks whether the large requests of a route are served about as often as
+ * the others. In a burst, long prompts rarely meet the latency objective, so
+ * without this check they would hardly be served at all. Pure.
  */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 
-/** Percentiles of size at which the two groups of large requests begin. */
+/** Size percentiles at which the "large" and "largest" groups start. */
 const LARGE_PERCENTILE = 70;
 const LARGEST_PERCENTILE = 90;
-/** A group lags that is served less than this times as often as all. */
-const LAG_RATIO = 0.7;
-/** Requests after which the bounds of the groups are looked up again. */
-const BOUNDS_EACH = 20;
-/** Sizes that are needed before groups mean anything. */
-const LEAST_SIZES = 40;
-/** Counts are halved when so many requests of a route were counted. */
-const KEPT_REQUESTS = 1500;
+/**
+ * A group is underserved if its served share is below this fraction of the
+ * route's.
+ */
+const UNDERSERVED_RATIO = 0.7;
+/** Number of requests after which the bounds of the groups are updated. */
+const BOUNDS_INTERVAL = 20;
+/** Recorded sizes needed before requests are grouped. */
+const MIN_SIZES = 40;
+/** Counts are halved when a route reaches this number of requests. */
+const MAX_COUNTED_REQUESTS = 1500;
 const MAX_ROUTES = 256;
 
 export type SizeGroup = "largest" | "large" | "rest";
 
 interface Count {
-  asked: number;
+  requested: number;
   served: number;
 }
 
-const newCount = (): Count => ({ asked: 0, served: 0 });
+const newCount = (): Count => ({ requested: 0, served: 0 });
 
 class RouteSizes {
   private readonly sizes: Histogram = build({
@@ -36,7 +39,7 @@
     highestTrackableValue: 1_000_000,
     numberOfSignificantValueDigits: 2,
   });
-  /** Sizes at which the groups begin. */
+  /** Smallest sizes of the groups. */
   private largestFrom = Infinity;
   private largeFrom = Infinity;
   private readonly all = newCount();
@@ -47,28 +50,32 @@
   };
 
   groupOf(size: number): SizeGroup {
-    if (this.sizes.totalCount < LEAST_SIZES) return "rest";
+    if (this.sizes.totalCount < MIN_SIZES) return "rest";
     if (size >= this.largestFrom) return "largest";
     return size >= this.largeFrom ? "large" : "rest";
   }
 
-  /** Percentiles are dear to look up, and move slowly. */
+  /**
+   * Percentiles are expensive to look up and change slowly, so bounds are
+   * cached.
+   */
   private record(size: number): void {
     const { sizes } = this;
     sizes.recordValue(Math.max(1, Math.round(size)));
-    if (sizes.totalCount % BOUNDS_EACH !== 0) return;
+    if (sizes.totalCount % BOUNDS_INTERVAL !== 0) return;
     this.largestFrom = sizes.getValueAtPercentile(LARGEST_PERCENTILE);
     this.largeFrom = sizes.getValueAtPercentile(LARGE_PERCENTILE);
   }
 
-  lags(group: SizeGroup): boolean {
-    const { asked, served } = this.groups[group];
-    if (group === "rest" || asked === 0 || this.all.asked === 0) return false;
-    const share = this.all.served / this.all.asked;
-    return served / asked < share * LAG_RATIO;
+  isUnderserved(group: SizeGroup): boolean {
+    const { requested, served } = this.groups[group];
+    if (group === "rest" || requested === 0 || this.all.requested === 0)
+      return false;
+    const share = this.all.served / this.all.requested;
+    return served / requested < share * UNDERSERVED_RATIO;
   }
 
-  uncountServed(size: number): void {
+  revertServed(size: number): void {
     const group = this.groups[this.groupOf(size)];
     for (const count of [this.all, group]) {
       count.served = Math.max(0, count.served - 1);
@@ -78,13 +85,13 @@
   count(size: number, isServed: boolean): void {
     const group = this.groups[this.groupOf(size)];
     for (const count of [this.all, group]) {
-      count.asked += 1;
+      count.requested += 1;
       if (isServed) count.served += 1;
     }
     this.record(size);
-    if (this.all.asked < KEPT_REQUESTS) return;
+    if (this.all.requested < MAX_COUNTED_REQUESTS) return;
     for (const count of [this.all, ...Object.values(this.groups)]) {
-      count.asked /= 2;
+      count.requested /= 2;
       count.served /= 2;
     }
   }
@@ -93,15 +100,18 @@
 export class SizeFairness {
   private readonly routes = new Map<string, RouteSizes>();
 
-  /** Whether requests of this size lag behind the rest of their route. */
-  lags(route: string, size: number): boolean {
+  /**
+   * Whether requests of this size are served less often than their route
+   * overall.
+   */
+  isUnderserved(route: string, size: number): boolean {
     const sizes = this.routes.get(route);
-    return sizes !== undefined && sizes.lags(sizes.groupOf(size));
+    return sizes !== undefined && sizes.isUnderserved(sizes.groupOf(size));
   }
 
   /** Reverts the served count of a request that was not served after all. */
-  uncountServed(route: string, size: number): void {
-    this.routes.get(route)?.uncountServed(size);
+  revertServed(route: string, size: number): void {
+    this.routes.get(route)?.revertServed(size);
   }
 
   /** Counts one request and whether it was served. */
