--- a/src/claims/claimTable.ts
+++ b/src/claims/claimTable.ts
@@ -2,7 +2,7 @@
  * One shard of claims: pure rules over the value of one stored object. A key
  * is claimed by one request; only that request may finish or release it.
  */
-import type { ClaimAnswer, ClaimRequest, KeptAnswer } from "./types.js";
+import type { ClaimAnswer, ClaimRequest, StoredAnswer } from "./types.js";
 
 /** One claimed key. */
 export interface Claim {
@@ -10,7 +10,7 @@
   print: string;
   /** When it was claimed, ms since 1970. */
   at: number;
-  answer?: KeptAnswer;
+  answer?: StoredAnswer;
   /** It ran, but its answer is too large to be kept. */
   ran?: boolean;
 }
@@ -29,7 +29,7 @@
 export type ClaimEvent =
   | { kind: "begin"; request: ClaimRequest }
   /** `answer` is absent where it is too large to be kept. */
-  | { kind: "finish"; request: ClaimRequest; answer?: KeptAnswer }
+  | { kind: "finish"; request: ClaimRequest; answer?: StoredAnswer }
   | { kind: "release"; request: ClaimRequest };
 
 const inUse = (): ClaimAnswer => ({
@@ -66,7 +66,7 @@
 });
 
 /** What a begin comes to on this table. */
-export const claimAnswer = (
+export const evaluateClaim = (
   table: ClaimTable,
   request: ClaimRequest,
 ): ClaimAnswer => {
--- a/src/claims/index.ts
+++ b/src/claims/index.ts
@@ -1,2 +1,7 @@
 export { StoredClaims } from "./storedClaims.js";
-export type { ClaimAnswer, ClaimRequest, Claims, KeptAnswer } from "./types.js";
+export type {
+  ClaimAnswer,
+  ClaimRequest,
+  Claims,
+  StoredAnswer,
+} from "./types.js";
--- a/src/claims/storedClaims.ts
+++ b/src/claims/storedClaims.ts
@@ -10,15 +10,20 @@
 import { fingerprint } from "../shared/utils.js";
 import {
   applyClaimEvent,
-  claimAnswer,
+  evaluateClaim,
   EMPTY_CLAIMS,
   MAX_SHARD_BYTES,
   pruneClaims,
 } from "./claimTable.js";
 import type { ClaimEvent, ClaimTable } from "./claimTable.js";
-import type { ClaimAnswer, ClaimRequest, Claims, KeptAnswer } from "./types.js";
-
-export const CLAIM_KIND = "claims";
+import type {
+  ClaimAnswer,
+  ClaimRequest,
+  Claims,
+  StoredAnswer,
+} from "./types.js";
+
+export const CLAIMS_KIND = "claims";
 const SHARDS = 16;
 const KEEP_MS = 3_600_000;
 const MAX_ROUNDS = 20;
@@ -64,7 +69,7 @@
     return this.submit({ kind: "begin", request });
   }
 
-  async finish(request: ClaimRequest, answer: KeptAnswer): Promise<void> {
+  async finish(request: ClaimRequest, answer: StoredAnswer): Promise<void> {
     const isKept = answer.body.length <= MAX_KEPT_BYTES;
     const event: ClaimEvent = { kind: "finish", request };
     await this.submit(isKept ? { ...event, answer } : event);
@@ -125,7 +130,7 @@
       const writeId = randomUUID();
       const result = await settledWrite<ClaimTable>(
         this.store,
-        CLAIM_KIND,
+        CLAIMS_KIND,
         shard.name,
         next,
         expected,
@@ -167,7 +172,7 @@
     let next = pruneClaims(table, now, KEEP_MS);
     const answers: ClaimAnswer[] = [];
     for (const { event } of batch) {
-      answers.push(claimAnswer(next, event.request));
+      answers.push(evaluateClaim(next, event.request));
       next = applyClaimEvent(next, event, now);
     }
     return { next, answers };
@@ -179,6 +184,6 @@
     writeId: string,
     value: ClaimTable,
   ): StoredObject<ClaimTable> {
-    return { kind: CLAIM_KIND, name, version, writeId, value };
+    return { kind: CLAIMS_KIND, name, version, writeId, value };
   }
 }
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -2,7 +2,7 @@
 import type { RequestFailure } from "../shared/errors.js";
 
 /** An answer that is kept so that a repeat of its key gets it again. */
-export interface KeptAnswer {
+export interface StoredAnswer {
   status: number;
   contentType: string;
   body: string;
@@ -21,14 +21,14 @@
 
 export type ClaimAnswer =
   | { kind: "run" }
-  | { kind: "replay"; answer: KeptAnswer }
+  | { kind: "replay"; answer: StoredAnswer }
   | { kind: "refused"; failure: RequestFailure };
 
 /** Claims a key before the run, and keeps the answer after it. */
 export interface Claims {
   begin(request: ClaimRequest): Promise<ClaimAnswer>;
   /** The request ran and this is its answer. */
-  finish(request: ClaimRequest, answer: KeptAnswer): Promise<void>;
+  finish(request: ClaimRequest, answer: StoredAnswer): Promise<void>;
   /** Proved: the request did not run; the key is free again. */
   release(request: ClaimRequest): Promise<void>;
 }
--- a/src/entry/requestFlow.ts
+++ b/src/entry/requestFlow.ts
@@ -4,9 +4,13 @@
  */
 import { randomUUID } from "node:crypto";
 
-import type { Claims, ClaimRequest, KeptAnswer } from "../claims/index.js";
+import type { Claims, ClaimRequest, StoredAnswer } from "../claims/index.js";
 import { passedHeaders } from "../http/index.js";
-import { decideRetry, earnRetry, newRetryBudget } from "../retry/index.js";
+import {
+  decideRetry,
+  creditRetryBudget,
+  newRetryBudget,
+} from "../retry/index.js";
 import type { Choice, RouteRequest, Router } from "../routing/index.js";
 import { HEADERS } from "../shared/constants.js";
 import type { RequestFailure } from "../shared/errors.js";
@@ -82,7 +86,7 @@
   }
 
   /** Gives the kept answer of the same key again. */
-  private replay(request: CallerRequest, kept: KeptAnswer): void {
+  private replay(request: CallerRequest, kept: StoredAnswer): void {
     request.res.writeHead(kept.status, {
       "content-type": kept.contentType,
       [HEADERS.replayed]: "true",
@@ -294,7 +298,7 @@
 
   private earn(service: string): void {
     const now = this.options.now();
-    this.budgets.set(service, earnRetry(this.budgetOf(service), now));
+    this.budgets.set(service, creditRetryBudget(this.budgetOf(service), now));
   }
 }
 
--- a/src/gateway/cacheSurvey.ts
+++ b/src/gateway/cacheSurvey.ts
@@ -63,7 +63,7 @@
       const whole = await readWholeBody(sent, MAX_LIST_BYTES);
       if (whole.kind === "cut" || sent.res.statusCode !== 200) return 0;
       const held = form.readCacheList(whole.body.toString("utf8"));
-      local.learnCache(service, id, held);
+      local.recordCachedParts(service, id, held);
       return held.length;
     } catch (err) {
       log.warn("cache not learnt", { replica: id, why: errText(err) });
--- a/src/gateway/engineNews.ts
+++ b/src/gateway/engineNews.ts
@@ -22,13 +22,13 @@
     const why = "the engine says nothing";
     this.logFault(caller, engine, "read", why);
     const ended = { kind: "read" as const, id: grantId, ok: false };
-    this.options.placement.note(caller.service, ended);
+    this.options.placement.reportEvent(caller.service, ended);
     return { kind: "failed", verdict: "not-run", why, avoid: engine };
   }
 
   noteSilent({ caller, grantId }: Journey, engine: string): void {
     const news = { kind: "silent" as const, id: grantId, engine };
-    this.options.placement.note(caller.service, news);
+    this.options.placement.reportEvent(caller.service, news);
   }
 
   /** The engine wants no work now: it is not at fault, and holds no part. */
@@ -40,7 +40,7 @@
   ): Round {
     const { caller, grantId } = journey;
     const news = { kind: "rejected" as const, id: grantId };
-    this.options.placement.note(caller.service, news);
+    this.options.placement.reportEvent(caller.service, news);
     this.logFault(caller, engine, phase, why);
     return {
       kind: "failed",
@@ -55,7 +55,7 @@
   wrongStage(journey: Journey, engine: string): Round {
     const { caller, grantId } = journey;
     const news = { kind: "wrong-stage" as const, id: grantId, engine };
-    this.options.placement.note(caller.service, news);
+    this.options.placement.reportEvent(caller.service, news);
     this.options.replicas.deny(engine, this.options.now());
     const why = "the engine does something else now";
     this.logFault(caller, engine, "place", why);
--- a/src/gateway/fleetDuties.ts
+++ b/src/gateway/fleetDuties.ts
@@ -72,7 +72,7 @@
   /** A holder that was just connected to knows nothing of this process. */
   onHolder(service: string): void {
     if (service !== this.service) return;
-    this.options.placement.tellUsage(service, this.process, this.counts.all());
+    this.options.placement.sendUsage(service, this.process, this.counts.all());
   }
 
   /** The service whose holder has the duty. */
@@ -88,7 +88,7 @@
     if (placement.isHolder(service)) {
       for (const window of this.counts.all()) this.onTold(this.process, window);
     } else if (news.length > 0) {
-      placement.tellUsage(service, this.process, news);
+      placement.sendUsage(service, this.process, news);
     }
   }
 
@@ -104,7 +104,7 @@
     const { placement, leaseMs, now, ...rest } = this.options;
     const guard = new TakeoverGuard(placement, service, leaseMs);
     const { ledger } = this;
-    const fence = (): number | undefined => guard.fence(now());
+    const fence = (): number | undefined => guard.fencingEpoch(now());
     return new UsageReporter({ ...rest, ledger, fence, now });
   }
 }
--- a/src/gateway/gatewayDaemon.ts
+++ b/src/gateway/gatewayDaemon.ts
@@ -118,11 +118,12 @@
     now,
   });
   const { placement } = role;
-  const countedEntries = () => placement.countedEntries(state.engineServices());
+  const countedEntries = () =>
+    placement.countedMaxEntries(state.engineServices());
   const budgets = new RetryBudgets(settings.retry, countedEntries, now);
   client.onLeaving = ({ id: engine, service }) => {
     if (!state.engineServices().includes(service)) return;
-    placement.note(service, { kind: "leaving", id: "", engine });
+    placement.reportEvent(service, { kind: "leaving", id: "", engine });
   };
   const { ends, quarantine } = createQuarantineRole(id, parts, state, upstream);
   state.onUnreadable = (what) => metrics.count("unreadable", { what });
@@ -157,7 +158,7 @@
   quarantine.start(supervisor);
   supervisor.every("connection limits", CONNECTION_LIMITS_MS, async () => {
     for (const { name, maxConnections } of state.services()) {
-      const entries = placement.entries(state.engineServices());
+      const entries = placement.maxEntryCount(state.engineServices());
       const most = Math.floor((maxConnections * CONNECTION_PART) / entries);
       upstream.limitConnections(name, Math.max(LEAST_CONNECTIONS, most));
     }
--- a/src/gateway/keyProof.ts
+++ b/src/gateway/keyProof.ts
@@ -39,6 +39,6 @@
     const { state, placement } = this;
     const hasKeys = state.routes?.keyring !== undefined;
     if (!hasKeys || state.proofAgeMs < this.askAfterMs) return;
-    placement.askConfig(state.configRevision);
+    placement.requestConfig(state.configRevision);
   }
 }
--- a/src/gateway/placementRole.ts
+++ b/src/gateway/placementRole.ts
@@ -84,7 +84,7 @@
   let address = options.peerAddress;
   const local: LocalPlacement = new LocalPlacement({
     engines: (service) => state.engines(service),
-    share: (service) => placement.share(service),
+    sharingProcesses: (service) => placement.sharingProcesses(service),
     permits: rates,
     log,
     now,
@@ -97,10 +97,10 @@
     isStandby: host === "scheduler",
     address: () => address,
     leaseMs: PLACEMENT_LEASE_MS,
-    patienceMs,
+    acquireDelayMs: patienceMs,
     capacity: options.capacity,
-    entriesHere: (service) => peers.entries(service),
-    onHolder: (service) => duties?.onHolder(service),
+    connectedEntries: (service) => peers.entryCount(service),
+    onHolderConnected: (service) => duties?.onHolder(service),
     onConfig: (news, sentAt) => state.onConfigNews(news, sentAt),
     log,
     now,
@@ -111,20 +111,20 @@
     isEntry: host === "entry",
     isHolder: (service) => placement.isHolder(service) && state.isReady,
     isFresh: (service) => placement.isFresh(service),
-    leaseMark: (service) => placement.leaseMark(service),
-    configNews: (known) => state.configNews(known),
-    onLeaving: (engine) => state.replicas.signals.leave(engine, now()),
+    leaseVersion: (service) => placement.leaseVersion(service),
+    configUpdate: (known) => state.configNews(known),
+    onEngineLeaving: (engine) => state.replicas.signals.leave(engine, now()),
     onUsage: (process, window) => duties?.onTold(process, window),
-    rates: () => rates.all(now()),
-    onRate: (news) => placement.permits.learn([news]),
-    permit: (replica) => placement.permits.permitHere(replica),
+    rates: () => rates.activeLimits(now()),
+    onRate: (news) => placement.permits.applyUpdates([news]),
+    acquirePermit: (replica) => placement.permits.acquireLocally(replica),
     log,
   });
   const serviceOf = (replica: string): string =>
     state.replicas.get(replica)?.service ?? "";
   rates.shareOf = (replica) => placement.permits.share(serviceOf(replica));
   client.onRate = (news) =>
-    placement.permits.tell(serviceOf(news.replica), news);
+    placement.permits.reportRate(serviceOf(news.replica), news);
   const duties = newDuties(options, placement);
   address = await peers.listen(options.peerAddress);
   const work = new HolderWork({ ...options, local, placement });
@@ -134,8 +134,8 @@
     local.expire();
     for (const service of services()) {
       if (!placement.isHolder(service)) continue;
-      peers.tellStandbys(service);
-      peers.tellRates(service);
+      peers.notifyStandbys(service);
+      peers.notifyEntriesOfRates(service);
     }
     await placement.step(services());
   };
--- a/src/gateway/plainPermits.ts
+++ b/src/gateway/plainPermits.ts
@@ -14,7 +14,7 @@
 
 /** Who says whether one request may go to a limited replica. */
 export interface PermitSource {
-  permit(service: string, replica: string): Promise<PermitAnswer>;
+  acquire(service: string, replica: string): Promise<PermitAnswer>;
 }
 
 /** `permitAt`: when there was a permit; undefined: none is needed. */
@@ -43,7 +43,7 @@
       return { kind: "may-go", permitAt: undefined };
     }
     const askedAt = now();
-    const answer = await permits.permit(service, replica);
+    const answer = await permits.acquire(service, replica);
     if (answer.kind === "acquired") {
       // Not the time of the answer, which this process may read late.
       return { kind: "may-go", permitAt: askedAt };
--- a/src/gateway/quarantineKeeper.ts
+++ b/src/gateway/quarantineKeeper.ts
@@ -3,7 +3,7 @@
  * shares with the fleet what this entry has seen.
  */
 import { Quarantine } from "../quarantine/index.js";
-import type { Bar } from "../quarantine/index.js";
+import type { QuarantineRecord } from "../quarantine/index.js";
 import type { RequestFailure } from "../shared/errors.js";
 import { errText } from "../shared/utils.js";
 import type { Supervisor } from "../tasks/index.js";
@@ -60,16 +60,16 @@
   }
 
   onEnd({ replica, requests }: ReplicaEnd): void {
-    this.quarantine.noteEnd(requests, replica.id);
+    this.quarantine.recordReplicaEnd(requests, replica.id);
     this.newsSince ??= this.options.now();
     this.hasNewEnds = true;
     this.announce();
   }
 
   onSurvived(caller: CallerRequest): void {
-    if (!this.quarantine.mightKnow(caller.body.length)) return;
+    if (!this.quarantine.mayBeTracked(caller.body.length)) return;
     this.trials.noteSurvived(caller);
-    const isNews = this.quarantine.noteSurvived(caller.digest);
+    const isNews = this.quarantine.recordSurvival(caller.digest);
     if (isNews) this.newsSince ??= this.options.now();
   }
 
@@ -77,26 +77,26 @@
   onStatus(status: unknown): void {
     const bars = barsIn(status);
     this.storedSteps = new Map(bars.map(({ digest, step }) => [digest, step]));
-    this.quarantine.learnBars(bars);
+    this.quarantine.applyRecords(bars);
     this.announce();
   }
 
   /** Before anything is done for a request: why it may not run. */
   async admit(caller: CallerRequest): Promise<RequestFailure | undefined> {
-    if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
+    if (!this.quarantine.mayBeTracked(caller.body.length)) return undefined;
     const verdict = this.quarantine.verdict(caller.digest, trialSends(caller));
     if (verdict.kind === "free") return undefined;
     const mayTry = verdict.kind === "may-try";
     if (mayTry && (await this.trials.claim(caller))) return undefined;
     this.options.metrics.count("quarantine", { what: "refused" });
-    return this.failure(verdict.bar);
+    return this.failure(verdict.record);
   }
 
   /** Before each send: a bar may have come since the request did. */
   refusal(caller: CallerRequest): RequestFailure | undefined {
     if (caller.isTrial) return undefined;
-    if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
-    const bar = this.quarantine.barOf(caller.digest);
+    if (!this.quarantine.mayBeTracked(caller.body.length)) return undefined;
+    const bar = this.quarantine.activeRecord(caller.digest);
     return bar && this.failure(bar);
   }
 
@@ -130,7 +130,7 @@
   private async restore(): Promise<void> {
     const { all, own } = await this.store.readEnds();
     this.quarantine.restore(own);
-    this.quarantine.learnEnds(all);
+    this.quarantine.applyEndRecords(all);
     this.hasRestored = true;
     this.announce();
   }
@@ -154,25 +154,25 @@
 
   private async learnEnds(): Promise<void> {
     const { all } = await this.store.readEnds();
-    this.quarantine.learnEnds([...all, this.quarantine.toRecord()]);
+    this.quarantine.applyEndRecords([...all, this.quarantine.toRecord()]);
     this.announce();
   }
 
   private get hasUnstoredBars(): boolean {
     return this.quarantine
-      .allBars()
+      .allRecords()
       .some(({ digest, step }) => step > (this.storedSteps.get(digest) ?? 0));
   }
 
   private async shareBars(): Promise<boolean> {
     for (let round = 0; round < MAX_CONFLICTS; round += 1) {
-      const outcome = await this.store.writeBars(this.quarantine.allBars());
+      const outcome = await this.store.writeBars(this.quarantine.allRecords());
       if (outcome !== "conflict") return outcome === "written";
     }
     return false;
   }
 
-  private failure({ lives, by, at }: Bar): RequestFailure {
+  private failure({ lives, by, at }: QuarantineRecord): RequestFailure {
     const ageMs = Math.max(0, this.options.wallNow() - at);
     const age = `${Math.round(ageMs / MS_PER_SECOND)} s`;
     return {
@@ -185,7 +185,7 @@
 
   /** Logs each step of each bar once. */
   private announce(): void {
-    const bars = this.quarantine.allBars();
+    const bars = this.quarantine.allRecords();
     const before = this.loggedSteps;
     this.loggedSteps = new Map(bars.map(({ digest, step }) => [digest, step]));
     for (const bar of bars) {
--- a/src/gateway/quarantineStore.ts
+++ b/src/gateway/quarantineStore.ts
@@ -6,8 +6,8 @@
  */
 import { z } from "zod/v4";
 
-import { BAR_STATES } from "../quarantine/index.js";
-import type { Bar, EndRecord } from "../quarantine/index.js";
+import { QUARANTINE_STATES } from "../quarantine/index.js";
+import type { QuarantineRecord, EndRecord } from "../quarantine/index.js";
 import { ABSENT } from "../store/index.js";
 import type { FeedItem, ObjectFeed } from "../store/index.js";
 import type { GatewaySource, GatewayState } from "./gatewayState.js";
@@ -19,7 +19,7 @@
 
 const barSchema = z.object({
   digest: z.string(),
-  state: z.enum(BAR_STATES),
+  state: z.enum(QUARANTINE_STATES),
   step: z.number().int(),
   lives: z.array(z.string()),
   sends: z.number().int(),
@@ -33,7 +33,7 @@
   typeof value === "object" && value !== null ? { ...value } : {};
 
 /** Bars that can be read; others are another writer's, and say nothing. */
-export const barsIn = (status: unknown): Bar[] => {
+export const barsIn = (status: unknown): QuarantineRecord[] => {
   const listed = fieldsOf(status)[BARS_FIELD];
   if (!Array.isArray(listed)) return [];
   return listed.flatMap((item) => {
@@ -104,7 +104,7 @@
   }
 
   /** One conditional write; what another has written meanwhile is learnt. */
-  async writeBars(bars: readonly Bar[]): Promise<BarsWrite> {
+  async writeBars(bars: readonly QuarantineRecord[]): Promise<BarsWrite> {
     const { state, feed, source } = this.options;
     const item = newerOf(state.storedConfig, this.met);
     // Written over a status that was not read, the others' bars would go.
--- a/src/gateway/quarantineTrials.ts
+++ b/src/gateway/quarantineTrials.ts
@@ -2,7 +2,7 @@
  * Trials of barred requests that this process runs: one at a time in the
  * fleet, agreed in the store before anything is sent.
  */
-import type { Bar, Quarantine } from "../quarantine/index.js";
+import type { QuarantineRecord, Quarantine } from "../quarantine/index.js";
 import type { Log } from "../telemetry/index.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { QuarantineStore } from "./quarantineStore.js";
@@ -17,7 +17,7 @@
   caller.head.prompt === undefined ? 1 : ENGINE_TRIAL_SENDS;
 
 interface TrialRun {
-  trial: Bar;
+  trial: QuarantineRecord;
   /** Sends that it was given. */
   reserved: number;
   hasSurvived: boolean;
@@ -62,8 +62,8 @@
     this.runs.delete(caller);
     const { trial, reserved, hasSurvived } = run;
     const outcome = { sends: caller.sentTo.length, hasSurvived };
-    const next = this.quarantine.afterTrial(trial, reserved, outcome);
-    this.quarantine.learnBars([next]);
+    const next = this.quarantine.finishTrial(trial, reserved, outcome);
+    this.quarantine.applyRecords([next]);
     this.log.info("quarantine trial ended", {
       requestId: caller.head.id,
       digest: trial.digest,
@@ -79,7 +79,7 @@
     for (let round = 0; round < MAX_CONFLICTS; round += 1) {
       const verdict = this.quarantine.verdict(digest, reserved);
       if (verdict.kind !== "may-try") return false;
-      const trial = this.quarantine.trialOf(verdict.bar, reserved);
+      const trial = this.quarantine.startTrial(verdict.record, reserved);
       const outcome = await this.store.writeBars(this.barsWith(trial));
       if (outcome === "failed") return false;
       if (outcome === "conflict") continue;
@@ -90,9 +90,9 @@
     return false;
   }
 
-  private barsWith(trial: Bar): Bar[] {
+  private barsWith(trial: QuarantineRecord): QuarantineRecord[] {
     const others = this.quarantine
-      .allBars()
+      .allRecords()
       .filter(({ digest }) => digest !== trial.digest);
     return [...others, trial];
   }
--- a/src/gateway/replicaClient.ts
+++ b/src/gateway/replicaClient.ts
@@ -196,7 +196,7 @@
     const { rates, log, metrics, now } = this.options;
     const mayEnd = purpose === "work" && isGood && unreadLimit === undefined;
     const word = { perS: limitPerS, mayEnd, sentAt: leftAt };
-    const news = rates.hear(id, word, now());
+    const news = rates.recordAnswer(id, word, now());
     if (news === undefined) return;
     const isEnd = news.endedAgoMs !== undefined;
     metrics.count("replica_signal", { kind: isEnd ? "unlimited" : "limited" });
--- a/src/gateway/stageKeeper.ts
+++ b/src/gateway/stageKeeper.ts
@@ -44,7 +44,7 @@
   replicas: ReplicaSet;
   authority: HolderAuthority;
   client: ReplicaClient;
-  rates: Pick<RateLimits, "binds">;
+  rates: Pick<RateLimits, "isThrottling">;
   form: RequestForm;
   log: Log;
   now: () => number;
@@ -71,7 +71,7 @@
     const { now, scheduler } = this.options;
     this.demand.measure(scheduler.asked, scheduler.engineStates(), now());
     this.settleChanges(now());
-    const mayOrder = this.guard.fence(now()) !== undefined;
+    const mayOrder = this.guard.fencingEpoch(now()) !== undefined;
     if (!mayOrder || now() < this.refusedUntil) return;
     const changes: StageChange[] = [];
     while (changes.length < ORDERS_AT_ONCE) {
@@ -121,7 +121,7 @@
       .filter(
         ({ view }) =>
           replicas.signals.refusal(view.id, now) === undefined &&
-          !rates.binds(view.id, now),
+          !rates.isThrottling(view.id, now),
       );
     return planStages({
       engines: engines.map((engine) => ({
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -117,7 +117,7 @@
       const isCut = !isDone || caller.isCallerGone;
       const stream = journey.relay.takeStreamResult(isCut);
       const event = { kind: "ended" as const, id, ok, firstEventMs, stream };
-      placement.note(caller.service, event);
+      placement.reportEvent(caller.service, event);
     }
   }
 
@@ -144,7 +144,7 @@
     const unavailable = replicas.signals.unavailable(service, now());
     return new Promise((resolve, reject) => {
       const off = caller.cancellation.onCancel(() => {
-        placement.withdraw(service, grantId);
+        placement.cancel(service, grantId);
         resolve(undefined);
       });
       const onAnswer = (answer: PlacementAnswer): void => {
@@ -152,7 +152,7 @@
         resolve(answer);
         if (!caller.cancellation.isCancelled) return;
         const isGranted = answer.kind === "granted";
-        if (isGranted) placement.note(service, endedUnused(grantId));
+        if (isGranted) placement.reportEvent(service, endedUnused(grantId));
       };
       placement
         .place(askOf(journey, domain, unavailable))
@@ -195,7 +195,7 @@
     if (read.kind === "unavailable" && !caller.cancellation.isCancelled)
       return this.news.rejected(journey, reader, "read", read.why);
     const ok = read.kind === "read";
-    placement.note(caller.service, { kind: "read", id: grantId, ok });
+    placement.reportEvent(caller.service, { kind: "read", id: grantId, ok });
     if (read.kind === "read") {
       if (!caller.cancellation.isCancelled) return read;
       this.calls.free(caller.service, read.handle);
@@ -212,7 +212,7 @@
     journey.firstEventMs = this.options.now() - journey.runSentAt;
     if (!journey.readsAtRunner) return;
     const event = { kind: "begun" as const, id: grantId };
-    this.options.placement.note(caller.service, event);
+    this.options.placement.reportEvent(caller.service, event);
   }
 
   private giveUp(journey: Journey, failure: RequestFailure): void {
--- a/src/placement/leaseKeeper.ts
+++ b/src/placement/leaseKeeper.ts
@@ -41,7 +41,7 @@
 type StoredLease = z.infer<typeof leaseSchema>;
 
 /** One state of a lease: it changes with each renewal. */
-export interface LeaseMark {
+export interface LeaseVersion {
   epoch: number;
   beat: number;
 }
@@ -53,9 +53,9 @@
   address: string;
   leaseMs: number;
   /** How long it leaves a free lease to others, ms. */
-  patienceMs: number;
+  acquireDelayMs: number;
   /** The same for a lease that nobody has held before, ms. */
-  firstPatienceMs: number;
+  firstAcquireDelayMs: number;
   /** What this process has learnt of its engines' pace. */
   pace(): ReadCost | undefined;
   /** What the last holder had learnt was read; also an own earlier life. */
@@ -99,7 +99,7 @@
   }
 
   /** Address of the holder, if it is another process. */
-  get otherHolder(): string | undefined {
+  get otherHolderAddress(): string | undefined {
     if (this.isHolder || this.stored === undefined) return undefined;
     const isSelf = this.stored.holder === this.options.self;
     return isSelf ? undefined : this.stored.address;
@@ -117,7 +117,7 @@
   }
 
   /** The holder said that its lease stood so a moment ago. */
-  hear(told: LeaseMark): void {
+  onLeaseReported(told: LeaseVersion): void {
     const { stored } = this;
     if (this.isHolder || stored === undefined) return;
     if (told.epoch !== stored.epoch || told.beat < stored.beat) return;
@@ -128,7 +128,7 @@
   }
 
   /** What this process wrote last as the holder; undefined for others. */
-  get mark(): LeaseMark | undefined {
+  get version(): LeaseVersion | undefined {
     if (!this.isHolder || this.stored === undefined) return undefined;
     const { epoch, beat } = this.stored;
     return { epoch, beat };
@@ -152,7 +152,7 @@
       case "renew":
         return this.write(this.epoch, (this.stored?.beat ?? 0) + 1);
       case "take":
-        if (now() - this.lookingSince < this.patienceMs) return;
+        if (now() - this.lookingSince < this.effectiveDelayMs) return;
         return this.write(this.nextEpoch, 0);
     }
   }
@@ -168,9 +168,9 @@
     return Math.max(this.highestEpoch + 1, era > 0 ? this.readAt : 0);
   }
 
-  private get patienceMs(): number {
-    const { patienceMs, firstPatienceMs } = this.options;
-    return this.stored === undefined ? firstPatienceMs : patienceMs;
+  private get effectiveDelayMs(): number {
+    const { acquireDelayMs, firstAcquireDelayMs } = this.options;
+    return this.stored === undefined ? firstAcquireDelayMs : acquireDelayMs;
   }
 
   private async read(): Promise<void> {
--- a/src/placement/localPlacement.ts
+++ b/src/placement/localPlacement.ts
@@ -17,14 +17,14 @@
   /** The engines of a service that may get new work. */
   engines(service: string): readonly EngineView[];
   /** How many processes place on the same engines without talking. */
-  share(service: string): number;
+  sharingProcesses(service: string): number;
   permits: EnginePermits;
   log: Log;
   now: () => number;
 }
 
 /** Gets the answer of a request that was queued. */
-type OnAnswer = (answer: PlacementAnswer) => void;
+type AnswerCallback = (answer: PlacementAnswer) => void;
 
 /**
  * While requests wait, engines that come free are looked for each, ms. Work
@@ -37,7 +37,7 @@
 export class LocalPlacement implements Placement {
   private readonly schedulers = new Map<string, EngineScheduler>();
   /** By id of the request that waits. */
-  private readonly queued = new Map<string, OnAnswer>();
+  private readonly queued = new Map<string, AnswerCallback>();
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: LocalPlacementOptions) {}
@@ -50,7 +50,10 @@
   }
 
   /** The same without waiting; `onAnswer` is called where it is queued. */
-  placeNow(ask: PlacementAsk, onAnswer: OnAnswer): PlacementAnswer | Queued {
+  placeNow(
+    ask: PlacementAsk,
+    onAnswer: AnswerCallback,
+  ): PlacementAnswer | Queued {
     const scheduler = this.refresh(ask.service);
     const answer = scheduler.place(ask, this.options.now());
     if (answer.kind === "queued") {
@@ -70,19 +73,23 @@
   }
 
   /** An engine says that it holds these parts. */
-  learnCache(service: string, engine: string, held: readonly HeldPart[]): void {
+  recordCachedParts(
+    service: string,
+    engine: string,
+    held: readonly HeldPart[],
+  ): void {
     this.refresh(service).learnCache(engine, held);
   }
 
-  note(service: string, event: PlacementEvent): void {
+  reportEvent(service: string, event: PlacementEvent): void {
     const scheduler = this.scheduler(service);
     scheduler.onEvent(event, this.options.now());
     if (event.kind === "ended") this.queued.delete(event.id);
   }
 
   /** The request is given up; what waits for it hears nothing more. */
-  withdraw(service: string, id: string): void {
-    this.note(service, { kind: "ended", id, ok: true, firstEventMs: 0 });
+  cancel(service: string, id: string): void {
+    this.reportEvent(service, { kind: "ended", id, ok: true, firstEventMs: 0 });
   }
 
   /** The service's scheduler, with the engines that there are now. */
@@ -95,7 +102,7 @@
   scheduler(service: string): EngineScheduler {
     const known = this.schedulers.get(service);
     if (known !== undefined) return known;
-    const share = () => this.options.share(service);
+    const share = () => this.options.sharingProcesses(service);
     const fresh = new EngineScheduler(share, this.options.permits);
     this.schedulers.set(service, fresh);
     return fresh;
--- a/src/placement/messages.ts
+++ b/src/placement/messages.ts
@@ -130,7 +130,7 @@
 };
 
 /** An empty text stands for none. */
-export const nameIn = (text: string): string | undefined =>
+export const emptyToUndefined = (text: string): string | undefined =>
   text === "" ? undefined : text;
 
 /** `sinceAskMs` is the time since the ask was sent, by the client's clock. */
@@ -140,8 +140,8 @@
 ): PlacementAnswer => {
   if (reply.runner !== "") {
     const { runner, readMs } = reply;
-    const reader = nameIn(reply.reader);
-    const donor = nameIn(reply.donor);
+    const reader = emptyToUndefined(reply.reader);
+    const donor = emptyToUndefined(reply.donor);
     const { waitedMs } = reply;
     const ageMs = Math.max(0, sinceAskMs - waitedMs);
     const times = { readMs, waitedMs, ageMs };
--- a/src/placement/permitAsks.ts
+++ b/src/placement/pendingPermitAsks.ts
@@ -16,16 +16,16 @@
 }
 
 /** An ask by its number, and what will be answered; undefined: nothing. */
-export interface OpenedAsk {
+export interface PendingPermitAsk {
   number: number;
   answer: Promise<PermitAnswer | undefined>;
 }
 
-export class PermitAsks {
+export class PendingPermitAsks {
   private readonly asks = new Map<number, Open>();
   private last = 0;
 
-  open(): OpenedAsk {
+  open(): PendingPermitAsk {
     this.last = (this.last % MOST_NUMBER) + 1;
     const number = this.last;
     const answer = new Promise<PermitAnswer | undefined>((resolve) => {
@@ -35,7 +35,7 @@
     return { number, answer };
   }
 
-  settle(reply: PermitReply): void {
+  resolveReply(reply: PermitReply): void {
     this.end(reply.number, fromPermitReply(reply));
   }
 
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -27,9 +27,9 @@
   toUsageWindow,
 } from "./messages.js";
 import type { HolderState } from "./messages.js";
-import { PermitAsks } from "./permitAsks.js";
+import { PendingPermitAsks } from "./pendingPermitAsks.js";
 import { fromRateNews, toRateNews } from "./rateMessages.js";
-import { KEEPALIVE_OPTIONS, STANDBYS_AT_ONCE } from "./placementServer.js";
+import { KEEPALIVE_OPTIONS, CONCURRENT_STANDBYS } from "./placementServer.js";
 
 /**
  * An ask without an answer by then is placed here, ms. A holder that is busy
@@ -71,7 +71,7 @@
   /** The holder reads what is sent from now on. */
   onAccepted(): void;
   /** The stream ended; the client is of no further use. */
-  onLost(why: string): void;
+  onDisconnected(why: string): void;
   onState(state: HolderState): void;
   /** The same and suspensions of the machine; proofs count from it. */
   leaseNow: () => number;
@@ -87,7 +87,7 @@
   private readonly client: SchedulingClient;
   private readonly stream: ClientDuplexStream<PlaceCall, PlaceReply>;
   private readonly waiting = new Map<string, Waiting>();
-  private readonly permitAsks = new PermitAsks();
+  private readonly permitAsks = new PendingPermitAsks();
   private queuedCount = 0;
   private events: PlaceEvent[] = [];
   private eventTimer: NodeJS.Timeout | undefined;
@@ -132,7 +132,7 @@
   }
 
   /** Asks that the holder has not taken up yet. */
-  get waitingCount(): number {
+  get unacknowledgedCount(): number {
     return this.waiting.size - this.queuedCount;
   }
 
@@ -152,13 +152,13 @@
   }
 
   /** Takes an ask back; it is not answered any more. */
-  withdraw(id: string): void {
+  cancel(id: string): void {
     if (this.take(id) === undefined) return;
-    this.note({ kind: "ended", id, ok: true, firstEventMs: 0 });
+    this.reportEvent({ kind: "ended", id, ok: true, firstEventMs: 0 });
   }
 
   /** Told with the next ask, or soon. */
-  note(event: PlacementEvent): void {
+  reportEvent(event: PlacementEvent): void {
     if (this.isLost) return;
     this.events.push(toPlaceEvent(event));
     const isUrgent = event.kind === "read";
@@ -170,7 +170,7 @@
   }
 
   /** Tells the holder of a grant that is in use already. */
-  tellHeld(ask: PlacementAsk, grant: Grant, isRead: boolean): void {
+  reportHeldGrant(ask: PlacementAsk, grant: Grant, isRead: boolean): void {
     const { reader = "", runner } = grant;
     this.send({ held: { ask: toPlaceAsk(ask), reader, runner, isRead } });
   }
@@ -179,7 +179,7 @@
    * Asks for the newest configuration by one that holds revision `known`.
    * What the answer proves counts from when the question was sent.
    */
-  askConfig(known: number): void {
+  requestConfig(known: number): void {
     if (this.isLost || !this.isReady) return;
     const number = this.configAsk.number + 1;
     this.configAsk = { number, sentAt: this.options.leaseNow() };
@@ -187,7 +187,7 @@
   }
 
   /** The holder's word on one send; undefined if it can't be had. */
-  askPermit(replica: string): Promise<PermitAnswer | undefined> {
+  requestPermit(replica: string): Promise<PermitAnswer | undefined> {
     if (this.isLost || !this.isReady) return Promise.resolve(undefined);
     const { number, answer } = this.permitAsks.open();
     this.send({ permitAsk: { number, replica } });
@@ -195,12 +195,12 @@
   }
 
   /** Tells what replicas have come to say of the rate they take. */
-  tellRates(news: readonly RateNews[]): void {
+  sendRates(news: readonly RateNews[]): void {
     if (news.length > 0) this.send({ rates: news.map(toRateNews) });
   }
 
   /** Tells what this process has counted. */
-  tellUsage(process: string, windows: readonly WindowCounts[]): void {
+  sendUsage(process: string, windows: readonly WindowCounts[]): void {
     if (this.isLost || windows.length === 0) return;
     const usage = windows.map((window) => toUsageWindow(process, window));
     this.send({ usage });
@@ -249,7 +249,7 @@
       const told = reply.rates.map(fromRateNews);
       this.options.onRates(told.filter((news) => news !== undefined));
     }
-    if (reply.permit !== undefined) this.permitAsks.settle(reply.permit);
+    if (reply.permit !== undefined) this.permitAsks.resolveReply(reply.permit);
     if (reply.isQueued) return this.onQueued(id);
     const waiting = this.take(id);
     if (waiting !== undefined) {
@@ -258,7 +258,7 @@
     }
     // Too late: the request was placed here, so the grant is given back.
     if (reply.runner === "") return;
-    this.note({ kind: "ended", id, ok: true, firstEventMs: 0 });
+    this.reportEvent({ kind: "ended", id, ok: true, firstEventMs: 0 });
   }
 
   /** Answers to earlier questions than the last prove no more. */
@@ -281,7 +281,7 @@
   /** The first standbys hear from the holder all the time. */
   private watchBeats(standbyRank: number): void {
     clearTimeout(this.beatTimer);
-    if (!this.options.isStandby || standbyRank >= STANDBYS_AT_ONCE) return;
+    if (!this.options.isStandby || standbyRank >= CONCURRENT_STANDBYS) return;
     // After a pause of this process the next one may be there, unread.
     const onSilence = () => setImmediate(() => this.loseAfter(heard));
     this.beats += 1;
@@ -297,7 +297,7 @@
     const waiting = this.waiting.get(id);
     // Placed here meanwhile: it must not wait there any longer.
     if (waiting === undefined)
-      return this.note({ kind: "ended", id, ok: true, firstEventMs: 0 });
+      return this.reportEvent({ kind: "ended", id, ok: true, firstEventMs: 0 });
     clearTimeout(waiting.timer);
     waiting.isQueued = true;
     this.queuedCount += 1;
@@ -336,6 +336,6 @@
     this.permitAsks.close();
     this.stream.cancel();
     this.client.close();
-    this.options.onLost(why);
+    this.options.onDisconnected(why);
   }
 }
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -15,12 +15,12 @@
 import type { PermitAnswer, RateNews } from "../rateLimits/index.js";
 import { errText } from "../shared/utils.js";
 import type { Log } from "../telemetry/index.js";
-import type { LeaseMark } from "./leaseKeeper.js";
+import type { LeaseVersion } from "./leaseKeeper.js";
 import type { LocalPlacement } from "./localPlacement.js";
 import {
   fromPlaceAsk,
   fromPlaceEvent,
-  nameIn,
+  emptyToUndefined,
   toConfigAnswer,
   toPlaceReply,
 } from "./messages.js";
@@ -42,7 +42,7 @@
  * Standbys that look for a lost lease at once; as many more follow after each
  * pause, so that a large fleet does not ask the store all at once.
  */
-export const STANDBYS_AT_ONCE = 3;
+export const CONCURRENT_STANDBYS = 3;
 
 /** When a caller whose ask could not be judged may come back, ms. */
 const THREW_RETRY_MS = 1000;
@@ -66,11 +66,11 @@
   /** Whether that lease was renewed lately. */
   isFresh(service: string): boolean;
   /** That lease as this process wrote it last. */
-  leaseMark(service: string): LeaseMark | undefined;
+  leaseVersion(service: string): LeaseVersion | undefined;
   /** The newest configuration, for one that holds revision `known`. */
-  configNews(known: number): ConfigNews | undefined;
+  configUpdate(known: number): ConfigNews | undefined;
   /** An engine has told another process that it leaves. */
-  onLeaving(engine: string): void;
+  onEngineLeaving(engine: string): void;
   /** What another process has counted. */
   onUsage(process: string, window: WindowCounts): void;
   /** The rates that replicas say they take, as far as they are limited. */
@@ -78,7 +78,7 @@
   /** A replica has said to another process which rate it takes. */
   onRate(news: RateNews): void;
   /** Whether another process may send one request to that replica. */
-  permit(replica: string): PermitAnswer;
+  acquirePermit(replica: string): PermitAnswer;
   log: Log;
 }
 
@@ -118,7 +118,7 @@
   }
 
   /** Entries that place through this process, itself included. */
-  entries(service: string): number {
+  entryCount(service: string): number {
     const others = this.streams.get(service)?.size ?? 0;
     return others + (this.options.isEntry ? 1 : 0);
   }
@@ -128,14 +128,14 @@
    * changed. They ask for nothing, so that they would learn only from a lost
    * connection, seconds later, that there is no holder any more.
    */
-  tellStandbys(service: string): void {
+  notifyStandbys(service: string): void {
     const standbys = this.standbys.get(service) ?? new Map();
     let standbyRank = 0;
     for (const [stream, told] of standbys) {
       const state = this.state(service, stream, standbyRank);
       const rates = this.rateNews(stream);
       const isNews =
-        standbyRank < STANDBYS_AT_ONCE ||
+        standbyRank < CONCURRENT_STANDBYS ||
         told?.isFresh !== state.isFresh ||
         told.standbyRank !== standbyRank ||
         state.readPace !== undefined ||
@@ -152,7 +152,7 @@
    * Tells entries which rates replicas take: one that has not heard it itself
    * would send on, and use up room that others are held back for.
    */
-  tellRates(service: string): void {
+  notifyEntriesOfRates(service: string): void {
     for (const stream of this.streams.get(service) ?? []) {
       const rates = this.rateNews(stream);
       if (rates.length === 0) continue;
@@ -182,7 +182,7 @@
       const { placement } = this.options;
       const open = this.open.get(stream) ?? [];
       this.open.delete(stream);
-      for (const id of open) placement.withdraw(service, id);
+      for (const id of open) placement.cancel(service, id);
       this.streams.get(service)?.delete(stream);
       this.standbys.get(service)?.delete(stream);
     };
@@ -212,7 +212,7 @@
       this.options.log.error("placement call threw", fields);
       if (ask === undefined) return;
       this.open.get(stream)?.delete(ask.id);
-      this.options.placement.withdraw(service, ask.id);
+      this.options.placement.cancel(service, ask.id);
       this.reply(service, stream, ask.id, THREW);
     }
   }
@@ -246,15 +246,15 @@
     }
     if (call.permitAsk !== undefined) {
       const { number, replica } = call.permitAsk;
-      const permit = toPermitReply(number, this.options.permit(replica));
+      const permit = toPermitReply(number, this.options.acquirePermit(replica));
       const state = this.state(service, stream, 0);
       stream.write({ ...toPlaceReply("", undefined, state), permit });
     }
     for (const told of call.events) {
       const event = fromPlaceEvent(told);
       if (event === undefined) continue;
-      if (event.kind === "leaving") this.options.onLeaving(event.engine);
-      placement.note(service, event);
+      if (event.kind === "leaving") this.options.onEngineLeaving(event.engine);
+      placement.reportEvent(service, event);
       if (event.kind === "ended") this.open.get(stream)?.delete(event.id);
     }
     if (held?.ask !== undefined) {
@@ -262,7 +262,7 @@
       this.noteOpen(stream, held.ask.id);
       const grant: Grant = {
         kind: "granted",
-        reader: nameIn(reader),
+        reader: emptyToUndefined(reader),
         runner,
         donor: undefined,
         readMs: 0,
@@ -298,7 +298,7 @@
     stream: PlaceStream,
     { number, known }: ConfigAsk,
   ): void {
-    const news = this.options.configNews(known);
+    const news = this.options.configUpdate(known);
     if (news === undefined) return;
     const reply = toPlaceReply("", undefined, this.state(service, stream, 0));
     stream.write({ ...reply, config: toConfigAnswer(number, news) });
@@ -309,9 +309,9 @@
     stream: PlaceStream,
     standbyRank: number,
   ): HolderState {
-    const { epoch = 0, beat = 0 } = this.options.leaseMark(service) ?? {};
+    const { epoch = 0, beat = 0 } = this.options.leaseVersion(service) ?? {};
     return {
-      entries: this.entries(service),
+      entries: this.entryCount(service),
       isFresh: this.options.isFresh(service),
       standbyRank,
       readPace: this.paceNews(service, stream),
@@ -324,7 +324,7 @@
   private rateNews(stream: PlaceStream): PlaceReply["rates"] {
     const known = this.toldRates.get(stream) ?? new RateNewsFilter();
     this.toldRates.set(stream, known);
-    return known.pick(this.options.rates()).map(toRateNews);
+    return known.selectUpdates(this.options.rates()).map(toRateNews);
   }
 
   private noteOpen(stream: PlaceStream, id: string): void {
--- a/src/placement/ratePermits.ts
+++ b/src/placement/ratePermits.ts
@@ -9,7 +9,7 @@
   RateLimits,
   RateNews,
 } from "../rateLimits/index.js";
-import type { HolderLink } from "./holderLink.js";
+import type { HolderConnection } from "./holderConnection.js";
 
 /**
  * Entries assumed to share a rate while none was counted: too many leave some
@@ -26,9 +26,9 @@
 export interface RatePermitsOptions {
   rates: RateLimits;
   /** By service. */
-  links: ReadonlyMap<string, HolderLink>;
+  connections: ReadonlyMap<string, HolderConnection>;
   /** Entries that place through this process, itself included. */
-  entriesHere(service: string): number;
+  connectedEntries(service: string): number;
   now: () => number;
 }
 
@@ -37,45 +37,47 @@
 
   /** How much of what a replica of a service takes this process may use. */
   share(service: string): PermitShare {
-    const link = this.linkFor(service);
-    const entries = link?.entries ?? UNCOUNTED_ENTRIES;
-    const isSole = link?.keeper.isHolder ?? false;
-    if (link === undefined || !isSole) {
-      return { part: UNLED_PART / entries, isSole };
+    const connection = this.connectionFor(service);
+    const entries = connection?.entryCount ?? UNCOUNTED_ENTRIES;
+    const isAllocator = connection?.keeper.isHolder ?? false;
+    if (connection === undefined || !isAllocator) {
+      return { fraction: UNLED_PART / entries, isAllocator };
     }
-    if (link.keeper.isFresh) return { part: 1, isSole };
+    if (connection.keeper.isFresh) return { fraction: 1, isAllocator };
     // Others may have found another holder: only those that are left count.
-    const here = this.options.entriesHere(link.service);
-    return { part: Math.min(1, here / entries), isSole };
+    const here = this.options.connectedEntries(connection.service);
+    return { fraction: Math.min(1, here / entries), isAllocator };
   }
 
   /** Whether one request may go to a replica on which nobody places. */
-  async permit(service: string, replica: string): Promise<PermitAnswer> {
-    const { client } = this.linkFor(service) ?? {};
-    return (await client?.askPermit(replica)) ?? this.permitHere(replica);
+  async acquire(service: string, replica: string): Promise<PermitAnswer> {
+    const { client } = this.connectionFor(service) ?? {};
+    return (
+      (await client?.requestPermit(replica)) ?? this.acquireLocally(replica)
+    );
   }
 
   /** The same by what this process may use. */
-  permitHere(replica: string): PermitAnswer {
+  acquireLocally(replica: string): PermitAnswer {
     const { rates, now } = this.options;
     if (rates.acquire(replica, now())) return { kind: "acquired" };
     return { kind: "held-back", waitMs: rates.waitMs(replica, now()) };
   }
 
   /** Tells whoever spends the rate of a service's replicas. */
-  tell(service: string, news: RateNews): void {
-    this.linkFor(service)?.client?.tellRates([news]);
+  reportRate(service: string, news: RateNews): void {
+    this.connectionFor(service)?.client?.sendRates([news]);
   }
 
   /** Other processes have heard this. */
-  learn(news: readonly RateNews[]): void {
+  applyUpdates(news: readonly RateNews[]): void {
     const { rates, now } = this.options;
-    for (const item of news) rates.learn(item, now());
+    for (const item of news) rates.applyUpdate(item, now());
   }
 
-  private linkFor(service: string): HolderLink | undefined {
-    const { links } = this.options;
-    const [first = ""] = [...links.keys()].sort();
-    return links.get(service) ?? links.get(first);
+  private connectionFor(service: string): HolderConnection | undefined {
+    const { connections } = this.options;
+    const [first = ""] = [...connections.keys()].sort();
+    return connections.get(service) ?? connections.get(first);
   }
 }
--- a/src/placement/askLimit.ts
+++ b/src/placement/refusalCache.ts
@@ -19,11 +19,15 @@
   at: number;
 }
 
-export class AskLimit {
+export class RefusalCache {
   private readonly refused = new Map<string, Refused>();
 
   /** The refusal of a request that is not worth an ask now. */
-  refusal(route: string, waiting: number, now: number): Refusal | undefined {
+  recentRefusal(
+    route: string,
+    waiting: number,
+    now: number,
+  ): Refusal | undefined {
     if (waiting < MOST_WAITING) return undefined;
     const last = this.refused.get(route);
     if (last === undefined || now - last.at > REFUSAL_HOLDS_MS) {
@@ -33,7 +37,7 @@
   }
 
   /** What the holder answered. */
-  note(route: string, answer: PlacementAnswer, now: number): void {
+  record(route: string, answer: PlacementAnswer, now: number): void {
     if (answer.kind === "granted" || answer.why !== "too-late") return;
     const isKnown = this.refused.has(route);
     if (!isKnown && this.refused.size >= MAX_ROUTES) this.refused.clear();
--- a/src/placement/sharedPlacement.ts
+++ b/src/placement/sharedPlacement.ts
@@ -13,13 +13,13 @@
 import type { RateLimits } from "../rateLimits/index.js";
 import type { ObjectFeed } from "../store/index.js";
 import type { Log } from "../telemetry/index.js";
-import { AskLimit } from "./askLimit.js";
-import { HolderLink } from "./holderLink.js";
+import { RefusalCache } from "./refusalCache.js";
+import { HolderConnection } from "./holderConnection.js";
 import { LeaseKeeper } from "./leaseKeeper.js";
-import type { LeaseMark } from "./leaseKeeper.js";
+import type { LeaseVersion } from "./leaseKeeper.js";
 import type { LocalPlacement } from "./localPlacement.js";
 import { PlacementClient } from "./placementClient.js";
-import { STANDBYS_AT_ONCE } from "./placementServer.js";
+import { CONCURRENT_STANDBYS } from "./placementServer.js";
 import { RatePermits } from "./ratePermits.js";
 import type { Placement } from "./types.js";
 import type { ConfigNews, WindowCounts } from "../workspaces/index.js";
@@ -41,12 +41,12 @@
  * within half a second of each other, and the strongest must be the holder: one
  * of half a core answers a large fleet too late.
  */
-const FIRST_PATIENCE_MS = 1500;
+const FIRST_ACQUIRE_DELAY_MS = 1500;
 /** No process leaves it for longer, ms. */
-const LONGEST_FIRST_PATIENCE_MS = 4000;
+const MAX_FIRST_ACQUIRE_DELAY_MS = 4000;
 
-const firstPatienceMs = (capacity: number): number =>
-  Math.min(LONGEST_FIRST_PATIENCE_MS, FIRST_PATIENCE_MS / capacity);
+const firstAcquireDelayMs = (capacity: number): number =>
+  Math.min(MAX_FIRST_ACQUIRE_DELAY_MS, FIRST_ACQUIRE_DELAY_MS / capacity);
 
 export interface SharedPlacementOptions {
   local: LocalPlacement;
@@ -58,15 +58,15 @@
   address(): string;
   leaseMs: number;
   /** How long it leaves a free lease to others, ms. */
-  patienceMs: number;
+  acquireDelayMs: number;
   /** Processor time that it has for placing, in cores. */
   capacity: number;
   /** Whether this process places nothing of its own. */
   isStandby: boolean;
   /** Entries that place through this process, itself included. */
-  entriesHere(service: string): number;
+  connectedEntries(service: string): number;
   /** Another process reads what is sent to it as the holder. */
-  onHolder(service: string): void;
+  onHolderConnected(service: string): void;
   /** The holder answered so to a question that was sent at `sentAt`. */
   onConfig(news: ConfigNews, sentAt: number): void;
   log: Log;
@@ -83,45 +83,48 @@
 }
 
 export class SharedPlacement implements Placement {
-  private readonly links = new Map<string, HolderLink>();
+  private readonly connections = new Map<string, HolderConnection>();
   private readonly inUse = new Map<string, InUse>();
-  private readonly askLimit = new AskLimit();
+  private readonly askLimit = new RefusalCache();
   /** Of the rates that replicas take. */
   readonly permits: RatePermits;
 
   constructor(private readonly options: SharedPlacementOptions) {
-    this.permits = new RatePermits({ ...options, links: this.links });
+    this.permits = new RatePermits({
+      ...options,
+      connections: this.connections,
+    });
   }
 
   async place(ask: PlacementAsk): Promise<PlacementAnswer> {
     const { local, now } = this.options;
-    const client = this.links.get(ask.service)?.client;
-    const waiting = client?.waitingCount ?? 0;
-    const refusal = this.askLimit.refusal(ask.route, waiting, now());
+    const client = this.connections.get(ask.service)?.client;
+    const waiting = client?.unacknowledgedCount ?? 0;
+    const refusal = this.askLimit.recentRefusal(ask.route, waiting, now());
     // A request that has been at an engine goes on being placed.
     if (refusal !== undefined && ask.avoid.length === 0) return refusal;
     const answer = await client?.ask(ask);
     if (answer !== undefined) {
-      this.askLimit.note(ask.route, answer, now());
+      this.askLimit.record(ask.route, answer, now());
       if (answer.kind === "granted") local.adopt(ask, answer);
       return this.used(ask, answer);
     }
     const own = await local.place(ask);
-    const { client: newest } = this.links.get(ask.service) ?? {};
-    if (own.kind === "granted") newest?.tellHeld(ask, own, false);
+    const { client: newest } = this.connections.get(ask.service) ?? {};
+    if (own.kind === "granted") newest?.reportHeldGrant(ask, own, false);
     return this.used(ask, own);
   }
 
-  withdraw(service: string, id: string): void {
+  cancel(service: string, id: string): void {
     this.inUse.delete(id);
-    this.options.local.withdraw(service, id);
-    this.links.get(service)?.client?.withdraw(id);
+    this.options.local.cancel(service, id);
+    this.connections.get(service)?.client?.cancel(id);
   }
 
-  note(service: string, event: PlacementEvent): void {
+  reportEvent(service: string, event: PlacementEvent): void {
     this.follow(event);
-    this.options.local.note(service, event);
-    this.links.get(service)?.client?.note(event);
+    this.options.local.reportEvent(service, event);
+    this.connections.get(service)?.client?.reportEvent(event);
   }
 
   /** What a new holder will have to know of the request. */
@@ -134,58 +137,59 @@
   }
 
   /** How many processes place on a service's engines without talking. */
-  share(service: string): number {
-    const link = this.links.get(service);
-    if (link === undefined) return UNKNOWN_ENTRIES;
-    const entries = link.entries ?? UNKNOWN_ENTRIES;
+  sharingProcesses(service: string): number {
+    const connection = this.connections.get(service);
+    if (connection === undefined) return UNKNOWN_ENTRIES;
+    const entries = connection.entryCount ?? UNKNOWN_ENTRIES;
     const guess = Math.max(1, entries * GUESSED_PART);
-    if (!link.keeper.isHolder) return guess;
+    if (!connection.keeper.isHolder) return guess;
     // Cut off from the store, others may have found another holder.
-    const isAlone = this.options.entriesHere(service) <= 1;
-    return isAlone && !link.keeper.isFresh ? guess : 1;
+    const isAlone = this.options.connectedEntries(service) <= 1;
+    return isAlone && !connection.keeper.isFresh ? guess : 1;
   }
 
   isHolder(service: string): boolean {
-    return this.links.get(service)?.keeper.isHolder ?? false;
+    return this.connections.get(service)?.keeper.isHolder ?? false;
   }
 
   isFresh(service: string): boolean {
-    return this.links.get(service)?.keeper.isFresh ?? false;
+    return this.connections.get(service)?.keeper.isFresh ?? false;
   }
 
   /** Epoch of the lease, as a fencing number of orders. */
   epoch(service: string): number {
-    return this.links.get(service)?.keeper.epoch ?? 0;
+    return this.connections.get(service)?.keeper.epoch ?? 0;
   }
 
   /** The lease as this process wrote it last, if it holds it. */
-  leaseMark(service: string): LeaseMark | undefined {
-    return this.links.get(service)?.keeper.mark;
+  leaseVersion(service: string): LeaseVersion | undefined {
+    return this.connections.get(service)?.keeper.version;
   }
 
   /** Asks the holders for the configuration by one that holds `known`. */
-  askConfig(known: number): void {
-    for (const { client } of this.links.values()) client?.askConfig(known);
+  requestConfig(known: number): void {
+    for (const { client } of this.connections.values())
+      client?.requestConfig(known);
   }
 
   /** Tells the holder of a service what this process has counted. */
-  tellUsage(
+  sendUsage(
     service: string,
     process: string,
     windows: readonly WindowCounts[],
   ): void {
-    this.links.get(service)?.client?.tellUsage(process, windows);
+    this.connections.get(service)?.client?.sendUsage(process, windows);
   }
 
   /** Most entries that place on the engines of any of these services. */
-  entries(services: readonly string[]): number {
-    return this.countedEntries(services) ?? UNKNOWN_ENTRIES;
+  maxEntryCount(services: readonly string[]): number {
+    return this.countedMaxEntries(services) ?? UNKNOWN_ENTRIES;
   }
 
   /** The same; undefined while no holder has counted them. */
-  countedEntries(services: readonly string[]): number | undefined {
+  countedMaxEntries(services: readonly string[]): number | undefined {
     const counts = services.flatMap(
-      (service) => this.links.get(service)?.entries ?? [],
+      (service) => this.connections.get(service)?.entryCount ?? [],
     );
     return counts.length === 0 ? undefined : Math.max(1, ...counts);
   }
@@ -196,33 +200,36 @@
   }
 
   close(): void {
-    for (const { client } of this.links.values()) client?.close();
+    for (const { client } of this.connections.values()) client?.close();
   }
 
   private async stepOne(service: string): Promise<void> {
-    const link = this.links.get(service) ?? this.addLink(service);
-    await link.keeper.step(this.mustLook(link));
-    const { entriesHere, now } = this.options;
-    if (link.keeper.isHolder) link.noteEntries(entriesHere(service), now());
-    const { otherHolder } = link.keeper;
-    if (link.client?.address === otherHolder) return;
-    link.client?.close();
-    if (otherHolder !== undefined) this.connect(service, link, otherHolder);
+    const connection =
+      this.connections.get(service) ?? this.addConnection(service);
+    await connection.keeper.step(this.mustLook(connection));
+    const { connectedEntries, now } = this.options;
+    if (connection.keeper.isHolder)
+      connection.recordEntryCount(connectedEntries(service), now());
+    const { otherHolderAddress } = connection.keeper;
+    if (connection.client?.address === otherHolderAddress) return;
+    connection.client?.close();
+    if (otherHolderAddress !== undefined)
+      this.connect(service, connection, otherHolderAddress);
   }
 
   /** Whether the lease in the store has to be looked at. */
-  private mustLook(link: HolderLink): boolean {
-    if (link.client !== undefined && link.isFresh) {
-      link.unsureSince = undefined;
+  private mustLook(connection: HolderConnection): boolean {
+    if (connection.client !== undefined && connection.isFresh) {
+      connection.noFreshHolderSince = undefined;
       return false;
     }
     const now = this.options.now();
-    link.unsureSince ??= now;
-    return now - link.unsureSince >= link.leaveMs;
+    connection.noFreshHolderSince ??= now;
+    return now - connection.noFreshHolderSince >= connection.searchDelayMs;
   }
 
-  private addLink(service: string): HolderLink {
-    const { local, feed, self, address, leaseMs, patienceMs, log, now } =
+  private addConnection(service: string): HolderConnection {
+    const { local, feed, self, address, leaseMs, acquireDelayMs, log, now } =
       this.options;
     const { capacity, leaseNow } = this.options;
     const keeper = new LeaseKeeper({
@@ -231,20 +238,27 @@
       self,
       address: address(),
       leaseMs,
-      patienceMs,
-      firstPatienceMs: Math.max(patienceMs, firstPatienceMs(capacity)),
+      acquireDelayMs,
+      firstAcquireDelayMs: Math.max(
+        acquireDelayMs,
+        firstAcquireDelayMs(capacity),
+      ),
       pace: () => local.scheduler(service).pace.known,
       onPace: (cost) => this.restorePace(service, cost),
       log,
       now,
       leaseNow,
     });
-    const link = new HolderLink(service, keeper);
-    this.links.set(service, link);
-    return link;
+    const connection = new HolderConnection(service, keeper);
+    this.connections.set(service, connection);
+    return connection;
   }
 
-  private connect(service: string, link: HolderLink, address: string): void {
+  private connect(
+    service: string,
+    connection: HolderConnection,
+    address: string,
+  ): void {
     const { log } = this.options;
     const client = new PlacementClient({
       service,
@@ -254,36 +268,36 @@
       now: this.options.now,
       leaseNow: this.options.leaseNow,
       onConfig: this.options.onConfig,
-      onRates: (news) => this.permits.learn(news),
+      onRates: (news) => this.permits.applyUpdates(news),
       onState: ({ entries, isFresh, standbyRank, readPace, ...lease }) => {
         const { leaseEpoch: epoch, leaseBeat: beat } = lease;
-        link.keeper.hear({ epoch, beat });
+        connection.keeper.onLeaseReported({ epoch, beat });
         if (readPace !== undefined) this.restorePace(service, readPace);
-        link.noteEntries(entries, this.options.now());
-        link.isFresh = isFresh;
-        const group = Math.floor(standbyRank / STANDBYS_AT_ONCE);
-        link.leaveMs = group * STANDBY_PAUSE_MS;
+        connection.recordEntryCount(entries, this.options.now());
+        connection.isFresh = isFresh;
+        const group = Math.floor(standbyRank / CONCURRENT_STANDBYS);
+        connection.searchDelayMs = group * STANDBY_PAUSE_MS;
       },
       onAccepted: () => {
-        link.isFresh = true;
-        this.options.onHolder(service);
+        connection.isFresh = true;
+        this.options.onHolderConnected(service);
         const message = this.options.isStandby
           ? "standing by for the holder"
           : "placing through the holder";
         log.info(message, { service, address });
       },
-      onLost: (why) => {
+      onDisconnected: (why) => {
         log.warn("holder lost", { service, address, why });
-        if (link.client === client) link.client = undefined;
+        if (connection.client === client) connection.client = undefined;
       },
     });
-    link.client = client;
+    connection.client = client;
     // Until it accepts, the lease has to be looked at: it may be gone.
-    link.isFresh = false;
+    connection.isFresh = false;
     for (const { ask, grant, isRead } of this.inUse.values()) {
-      if (ask.service === service) client.tellHeld(ask, grant, isRead);
+      if (ask.service === service) client.reportHeldGrant(ask, grant, isRead);
     }
-    client.tellRates(this.options.rates.all(this.options.now()));
+    client.sendRates(this.options.rates.activeLimits(this.options.now()));
   }
 
   /** What another process has learnt of the engines' pace. */
--- a/src/placement/takeoverGuard.ts
+++ b/src/placement/takeoverGuard.ts
@@ -27,7 +27,7 @@
   ) {}
 
   /** The fence to act with now; undefined: it must not act. */
-  fence(now: number): number | undefined {
+  fencingEpoch(now: number): number | undefined {
     const { service, authority, leaseMs } = this;
     const epoch = authority.epoch(service);
     const isFresh = authority.isFresh(service);
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -8,7 +8,7 @@
 export interface Placement {
   place(ask: PlacementAsk): Promise<PlacementAnswer>;
   /** Gives an ask up: no answer follows, and a grant of it ends. */
-  withdraw(service: string, id: string): void;
+  cancel(service: string, id: string): void;
   /** Tells what became of a request; `service` is that of its ask. */
-  note(service: string, event: PlacementEvent): void;
+  reportEvent(service: string, event: PlacementEvent): void;
 }
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -4,48 +4,52 @@
  * neither holds one request that comes again and again, at any entry. Here
  * the ends of replicas are counted for each request over the whole fleet.
  */
-import { EndLedger } from "./endLedger.js";
-import { sizeMark, sizeMarkOf } from "./requestDigest.js";
-import type { Bar, BarVerdict, EndRecord } from "./types.js";
+import { SuspectTable } from "./suspectTable.js";
+import { sizePrefix, sizePrefixOf } from "./requestDigest.js";
+import type {
+  QuarantineRecord,
+  QuarantineVerdict,
+  EndRecord,
+} from "./types.js";
 
 /**
  * Lives of replicas that may end under a request before it is barred. With
  * fewer, one that was twice beside the cause would be barred; each more is a
  * replica lost.
  */
-export const MOST_ENDS = 3;
+export const REPLICA_ENDS_TO_BAR = 3;
 /**
  * Sends of a barred request to replicas, for good, over the whole fleet:
  * trials tell a popular request that was beside three causes from the cause.
  */
-export const MOST_TRIAL_SENDS = 3;
+export const MAX_TRIAL_SENDS = 3;
 /**
  * How long after a bar a trial may begin, ms: a popular request is
  * barred by chance where many replicas end at once, and the trial must not
  * fall among the same ends.
  */
-export const TRIAL_AFTER_MS = 1000;
+export const TRIAL_DELAY_MS = 1000;
 /**
  * Bars that are kept; the oldest goes first, cleared ones before others. By
  * the bars' own fields, so that all processes keep the same.
  */
-export const MAX_BARS = 64;
+export const MAX_RECORDS = 64;
 /** Lives that are excused of one request; older records name no more. */
 const MAX_EXCUSED = 24;
 
-const FREE: BarVerdict = { kind: "free" };
+const FREE: QuarantineVerdict = { kind: "free" };
 
 interface KnownBar {
-  bar: Bar;
+  bar: QuarantineRecord;
   /** When this process learnt of this step, ms. */
   since: number;
 }
 
-const byAge = (left: Bar, right: Bar): number =>
+const byAge = (left: QuarantineRecord, right: QuarantineRecord): number =>
   left.at - right.at || left.digest.localeCompare(right.digest);
 
 export class Quarantine {
-  private readonly ledger: EndLedger;
+  private readonly ledger: SuspectTable;
   private readonly bars = new Map<string, KnownBar>();
   /** Sizes of the requests that are known; undefined: to be made anew. */
   private sizes: Set<string> | undefined;
@@ -56,23 +60,23 @@
     private readonly now: () => number,
     private readonly wallNow: () => number,
   ) {
-    this.ledger = new EndLedger(now);
+    this.ledger = new SuspectTable(now);
   }
 
   /**
    * Whether a request with such a body can be a known one. Spares nearly all
    * requests their digest.
    */
-  mightKnow(bodyBytes: number): boolean {
+  mayBeTracked(bodyBytes: number): boolean {
     if (this.bars.size === 0 && this.ledger.size === 0) return false;
     this.sizes ??= new Set(
-      [...this.bars.keys(), ...this.ledger.digests()].map(sizeMarkOf),
+      [...this.bars.keys(), ...this.ledger.digests()].map(sizePrefixOf),
     );
-    return this.sizes.has(sizeMark(bodyBytes));
+    return this.sizes.has(sizePrefix(bodyBytes));
   }
 
   /** A replica's life ended while these requests were there. */
-  noteEnd(digests: readonly string[], life: string): void {
+  recordReplicaEnd(digests: readonly string[], life: string): void {
     this.ledger.add(digests, life);
     this.sizes = undefined;
     for (const digest of digests) {
@@ -85,24 +89,24 @@
    * A run of it ended and left its replica alive. Whether that is news.
    * A barred one is cleared by its trial only: this run began before.
    */
-  noteSurvived(digest: string): boolean {
-    if (this.barOf(digest) !== undefined) return false;
+  recordSurvival(digest: string): boolean {
+    if (this.activeRecord(digest) !== undefined) return false;
     return this.ledger.clear(digest);
   }
 
   /** `trialSends`: how many sends to replicas a trial of it may take. */
-  verdict(digest: string, trialSends: number): BarVerdict {
+  verdict(digest: string, trialSends: number): QuarantineVerdict {
     const known = this.bars.get(digest);
     if (known === undefined || known.bar.state === "cleared") return FREE;
     const { bar, since } = known;
-    const isResting = this.now() - since < TRIAL_AFTER_MS;
-    const hasSends = bar.sends + trialSends <= MOST_TRIAL_SENDS;
+    const isResting = this.now() - since < TRIAL_DELAY_MS;
+    const hasSends = bar.sends + trialSends <= MAX_TRIAL_SENDS;
     const mayTry = bar.state === "barred" && hasSends && !isResting;
-    return { kind: mayTry ? "may-try" : "refused", bar };
+    return { kind: mayTry ? "may-try" : "refused", record: bar };
   }
 
   /** The bar of a request that may not run. */
-  barOf(digest: string): Bar | undefined {
+  activeRecord(digest: string): QuarantineRecord | undefined {
     const bar = this.bars.get(digest)?.bar;
     return bar?.state === "cleared" ? undefined : bar;
   }
@@ -118,7 +122,7 @@
   }
 
   /** What all processes have seen: an end at each of three entries is three. */
-  learnEnds(records: readonly EndRecord[]): void {
+  applyEndRecords(records: readonly EndRecord[]): void {
     const all = new Map<string, Set<string>>();
     for (const record of records) {
       for (const [digest, lives] of Object.entries(record)) {
@@ -131,28 +135,28 @@
   }
 
   /** Steps that others took, or this process; those that are news. */
-  learnBars(bars: readonly Bar[]): Bar[] {
+  applyRecords(bars: readonly QuarantineRecord[]): QuarantineRecord[] {
     const news = bars.filter((bar) => this.isLater(bar));
     for (const bar of news) this.set(bar);
     return news;
   }
 
-  allBars(): Bar[] {
+  allRecords(): QuarantineRecord[] {
     return [...this.bars.values()].map(({ bar }) => bar);
   }
 
   /** A trial takes up to `sends` sends; the store has to agree first. */
-  trialOf(bar: Bar, sends: number): Bar {
+  startTrial(bar: QuarantineRecord, sends: number): QuarantineRecord {
     return this.nextStep({ ...bar, sends: bar.sends + sends }, "on-trial");
   }
 
   /** A trial that was given `reserved` sends is over; its next step. */
-  afterTrial(
-    trial: Bar,
+  finishTrial(
+    trial: QuarantineRecord,
     reserved: number,
     { sends, hasSurvived }: { sends: number; hasSurvived: boolean },
-  ): Bar {
-    const known = this.barOf(trial.digest) ?? trial;
+  ): QuarantineRecord {
+    const known = this.activeRecord(trial.digest) ?? trial;
     if (hasSurvived) return this.nextStep(known, "cleared");
     // Its replica's end was found out first.
     if (known.step > trial.step) return known;
@@ -160,7 +164,10 @@
     return this.nextStep(used, "barred");
   }
 
-  private nextStep(bar: Bar, state: Bar["state"]): Bar {
+  private nextStep(
+    bar: QuarantineRecord,
+    state: QuarantineRecord["state"],
+  ): QuarantineRecord {
     return {
       ...bar,
       state,
@@ -175,7 +182,7 @@
     if (known !== undefined && known.state !== "cleared") return;
     const excused = new Set(known?.lives ?? []);
     const counted = [...lives].filter((life) => !excused.has(life));
-    if (counted.length < MOST_ENDS) return;
+    if (counted.length < REPLICA_ENDS_TO_BAR) return;
     const step = known?.step ?? 0;
     const named = [...excused, ...counted].slice(-MAX_EXCUSED);
     const bar = { digest, step, lives: named, sends: 0, by: "", at: 0 };
@@ -187,29 +194,29 @@
    * left. Ends under runs from before the bar are no news.
    */
   private endTrials(digest: string): void {
-    const bar = this.barOf(digest);
+    const bar = this.activeRecord(digest);
     const wasTried = bar?.by === this.self && bar.sends > 0;
-    if (!wasTried || bar.sends >= MOST_TRIAL_SENDS) return;
-    const final = { ...bar, sends: MOST_TRIAL_SENDS };
+    if (!wasTried || bar.sends >= MAX_TRIAL_SENDS) return;
+    const final = { ...bar, sends: MAX_TRIAL_SENDS };
     this.set(this.nextStep(final, "barred"));
   }
 
-  private isLater(bar: Bar): boolean {
+  private isLater(bar: QuarantineRecord): boolean {
     const known = this.bars.get(bar.digest)?.bar;
     return known === undefined || bar.step > known.step;
   }
 
-  private set(bar: Bar): void {
+  private set(bar: QuarantineRecord): void {
     this.sizes = undefined;
     this.bars.delete(bar.digest);
     this.bars.set(bar.digest, { bar, since: this.now() });
     // What was seen of a cleared request speaks no more against it.
     if (bar.state === "cleared") this.ledger.clear(bar.digest);
-    if (this.bars.size > MAX_BARS) this.dropOldest();
+    if (this.bars.size > MAX_RECORDS) this.dropOldest();
   }
 
   private dropOldest(): void {
-    const all = this.allBars();
+    const all = this.allRecords();
     const cleared = all.filter(({ state }) => state === "cleared");
     const [oldest] = (cleared.length > 0 ? cleared : all).sort(byAge);
     if (oldest !== undefined) this.bars.delete(oldest.digest);
--- a/src/quarantine/requestDigest.ts
+++ b/src/quarantine/requestDigest.ts
@@ -20,9 +20,9 @@
 }
 
 /** What digests of requests with a body of so many bytes begin with. */
-export const sizeMark = (bytes: number): string => bytes.toString(SIZE_RADIX);
+export const sizePrefix = (bytes: number): string => bytes.toString(SIZE_RADIX);
 
-export const sizeMarkOf = (digest: string): string =>
+export const sizePrefixOf = (digest: string): string =>
   digest.slice(0, digest.indexOf(SEPARATOR));
 
 /**
@@ -36,5 +36,5 @@
   const head = JSON.stringify([host, target, workspace]);
   const hash = createHash("sha256").update(head).update("\0").update(body);
   const text = hash.digest("base64url").slice(0, DIGEST_CHARS);
-  return `${sizeMark(body.length)}${SEPARATOR}${text}`;
+  return `${sizePrefix(body.length)}${SEPARATOR}${text}`;
 };
--- a/src/quarantine/endLedger.ts
+++ b/src/quarantine/suspectTable.ts
@@ -15,7 +15,7 @@
  * comes back within minutes; a bar, once set, has no end. Records of crashes
  * long ago would make each list of a large fleet's records longer.
  */
-export const SUSPECT_KEEP_MS = 600_000;
+export const SUSPECT_RETENTION_MS = 600_000;
 /** Lives that are named of one request; more decide nothing. */
 const MAX_LIVES = 6;
 
@@ -25,7 +25,7 @@
   at: number;
 }
 
-export class EndLedger {
+export class SuspectTable {
   /** In order of the last end, the oldest first. */
   private readonly suspects = new Map<string, Suspect>();
 
@@ -78,7 +78,7 @@
 
   private dropOld(now: number): void {
     for (const [digest, { at }] of this.suspects) {
-      if (now - at < SUSPECT_KEEP_MS) return;
+      if (now - at < SUSPECT_RETENTION_MS) return;
       this.suspects.delete(digest);
     }
   }
--- a/src/quarantine/types.ts
+++ b/src/quarantine/types.ts
@@ -3,7 +3,7 @@
 /** What one process has seen: by digest of a request, lives that ended. */
 export type EndRecord = Record<string, string[]>;
 
-export const BAR_STATES = ["barred", "on-trial", "cleared"] as const;
+export const QUARANTINE_STATES = ["barred", "on-trial", "cleared"] as const;
 
 /**
  * - `barred`: it runs nowhere, but for a trial while sends are left for one.
@@ -11,12 +11,12 @@
  *   has said what came of it.
  * - `cleared`: a trial ended well; the ends counted so far were not its own.
  */
-export type BarState = (typeof BAR_STATES)[number];
+export type QuarantineState = (typeof QUARANTINE_STATES)[number];
 
 /** The fleet's judgement of one request; a later step replaces a former. */
-export interface Bar {
+export interface QuarantineRecord {
   digest: string;
-  state: BarState;
+  state: QuarantineState;
   step: number;
   /** Lives of replicas that ended under it. */
   lives: string[];
@@ -28,8 +28,8 @@
 }
 
 /** What to do with a request. */
-export type BarVerdict =
+export type QuarantineVerdict =
   | { kind: "free" }
-  | { kind: "refused"; bar: Bar }
+  | { kind: "refused"; record: QuarantineRecord }
   /** One process may let it run once, if the store agrees. */
-  | { kind: "may-try"; bar: Bar };
+  | { kind: "may-try"; record: QuarantineRecord };
--- a/src/rateLimits/index.ts
+++ b/src/rateLimits/index.ts
@@ -1,6 +1,6 @@
 /** The rates that replicas say they take, and who may use them. */
 export { RateLimits } from "./rateLimits.js";
-export { RateNewsFilter } from "./newsFilter.js";
+export { RateNewsFilter } from "./rateNewsFilter.js";
 export { NO_LIMITS } from "./types.js";
 export type {
   EnginePermits,
@@ -8,4 +8,4 @@
   PermitShare,
   RateNews,
 } from "./types.js";
-export type { RateWord } from "./rateLimits.js";
+export type { RateReport } from "./rateLimits.js";
--- a/src/rateLimits/permitBucket.ts
+++ b/src/rateLimits/permitBucket.ts
@@ -28,7 +28,7 @@
     this.bucket = { ...filled, tokens, capacity, perMs };
   }
 
-  get isThere(): boolean {
+  get isAvailable(): boolean {
     return this.bucket.tokens >= 1;
   }
 
--- a/src/rateLimits/permitSlots.ts
+++ b/src/rateLimits/permitSlots.ts
@@ -31,7 +31,7 @@
     this.perMs = perS / MS_PER_SECOND;
   }
 
-  isThere(now: number): boolean {
+  isAvailable(now: number): boolean {
     this.advance(now);
     const period = Math.floor(this.passed);
     const openMs = (this.passed - period) / this.perMs;
@@ -39,14 +39,14 @@
   }
 
   take(now: number): boolean {
-    if (!this.isThere(now)) return false;
+    if (!this.isAvailable(now)) return false;
     this.used = Math.floor(this.passed);
     return true;
   }
 
   /** Until there is one, ms. */
   waitMs(now: number): number {
-    if (this.isThere(now)) return 0;
+    if (this.isAvailable(now)) return 0;
     return (Math.floor(this.passed) + 1 - this.passed) / this.perMs;
   }
 
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -47,14 +47,14 @@
   bucket: PermitBucket;
   slots: PermitSlots;
   /** The process was the only one to spend it when last looked at. */
-  wasSole: boolean;
+  wasAllocator: boolean;
   /** When it kept a request back last. */
   heldBackAt: number;
   refusals: FadingSum;
 }
 
 /** What one answer says of the limit of its replica. */
-export interface RateWord {
+export interface RateReport {
   /** Undefined: names none. */
   perS: number | undefined;
   /** Whether it would name a limit if there were one: a success of work. */
@@ -66,12 +66,19 @@
 export class RateLimits implements EnginePermits {
   private readonly known = new LRUCache<string, Known>({ max: MAX_LIVES });
   /** The share of this process in what a replica takes. */
-  shareOf: (replica: string) => PermitShare = () => ({ part: 1, isSole: true });
+  shareOf: (replica: string) => PermitShare = () => ({
+    fraction: 1,
+    isAllocator: true,
+  });
 
   constructor(private readonly rng: Rng) {}
 
   /** Takes in an answer; what others have to be told, if anything changed. */
-  hear(replica: string, word: RateWord, now: number): RateNews | undefined {
+  recordAnswer(
+    replica: string,
+    word: RateReport,
+    now: number,
+  ): RateNews | undefined {
     const known = this.current(replica, now);
     const { perS } = word;
     if (perS !== undefined && perS <= MOST_PER_S) {
@@ -87,7 +94,7 @@
   }
 
   /** Another process has heard this; whether it was news here. */
-  learn({ replica, perS, endedAgoMs }: RateNews, now: number): boolean {
+  applyUpdate({ replica, perS, endedAgoMs }: RateNews, now: number): boolean {
     const known = this.current(replica, now);
     const isEnd = endedAgoMs !== undefined;
     if (!isEnd) {
@@ -101,7 +108,7 @@
   }
 
   /** All that is in force now. */
-  all(now: number): RateNews[] {
+  activeLimits(now: number): RateNews[] {
     const news: RateNews[] = [];
     for (const replica of [...this.known.keys()]) {
       const known = this.current(replica, now);
@@ -118,7 +125,7 @@
   }
 
   /** Whether its limit keeps requests from it. */
-  binds(replica: string, now: number): boolean {
+  isThrottling(replica: string, now: number): boolean {
     const known = this.current(replica, now);
     return known !== undefined && now - known.heldBackAt < BINDS_MS;
   }
@@ -126,19 +133,21 @@
   mayAcquire(replica: string, now: number): boolean {
     const known = this.current(replica, now);
     if (known === undefined) return true;
-    const isSole = this.update(replica, known, now);
+    const isAllocator = this.update(replica, known, now);
     const { bucket, slots } = known;
-    const isThere = isSole ? bucket.isThere : slots.isThere(now);
-    if (!isThere) known.heldBackAt = now;
-    return isThere;
+    const isAvailable = isAllocator
+      ? bucket.isAvailable
+      : slots.isAvailable(now);
+    if (!isAvailable) known.heldBackAt = now;
+    return isAvailable;
   }
 
   acquire(replica: string, now: number): boolean {
     const known = this.current(replica, now);
     if (known === undefined) return true;
-    const isSole = this.update(replica, known, now);
+    const isAllocator = this.update(replica, known, now);
     const { bucket, slots } = known;
-    const isTaken = isSole ? bucket.take(now) : slots.take(now);
+    const isTaken = isAllocator ? bucket.take(now) : slots.take(now);
     if (isTaken) return true;
     known.heldBackAt = now;
     known.refusals.add(1, now);
@@ -149,9 +158,9 @@
   waitMs(replica: string, now: number): number {
     const known = this.current(replica, now);
     if (known === undefined) return 0;
-    const isSole = this.update(replica, known, now);
+    const isAllocator = this.update(replica, known, now);
     const { bucket, slots, refusals } = known;
-    const waitMs = isSole ? bucket.waitMs : slots.waitMs(now);
+    const waitMs = isAllocator ? bucket.waitMs : slots.waitMs(now);
     const refusedPerS = refusals.rate(now) * MS_PER_SECOND;
     return Math.max(waitMs, refusedPerS * REFUSED_GAP_MS);
   }
@@ -159,18 +168,19 @@
   ratePerS(replica: string, now: number): number {
     const known = this.current(replica, now);
     if (known === undefined) return Infinity;
-    return rateOf(known, now) * this.shareOf(replica).part;
+    return rateOf(known, now) * this.shareOf(replica).fraction;
   }
 
   /** Brings its permits up to date; whether this process spends alone. */
   private update(replica: string, known: Known, now: number): boolean {
-    const { part, isSole } = this.shareOf(replica);
-    const perS = rateOf(known, now) * part;
-    if (isSole && !known.wasSole) known.bucket = new PermitBucket(now);
-    known.wasSole = isSole;
-    if (isSole) known.bucket.setRate(perS, now);
+    const { fraction, isAllocator } = this.shareOf(replica);
+    const perS = rateOf(known, now) * fraction;
+    if (isAllocator && !known.wasAllocator)
+      known.bucket = new PermitBucket(now);
+    known.wasAllocator = isAllocator;
+    if (isAllocator) known.bucket.setRate(perS, now);
     else known.slots.setRate(perS, now);
-    return isSole;
+    return isAllocator;
   }
 
   private name(replica: string, perS: number, now: number): void {
@@ -192,7 +202,7 @@
       endedAt: undefined,
       bucket: new PermitBucket(now),
       slots: new PermitSlots(this.rng(), now),
-      wasSole: true,
+      wasAllocator: true,
       heldBackAt: -Infinity,
       refusals: new FadingSum(REFUSALS_MS),
     };
--- a/src/rateLimits/newsFilter.ts
+++ b/src/rateLimits/rateNewsFilter.ts
@@ -14,7 +14,7 @@
   private told = new Map<string, RateNews>();
 
   /** Those of `all` that are to be told; they count as told from now on. */
-  pick(all: readonly RateNews[]): RateNews[] {
+  selectUpdates(all: readonly RateNews[]): RateNews[] {
     const before = this.told;
     const now = new Map<string, RateNews>();
     const news: RateNews[] = [];
--- a/src/rateLimits/types.ts
+++ b/src/rateLimits/types.ts
@@ -13,9 +13,9 @@
 /** How much of a replica's rate this process may use. */
 export interface PermitShare {
   /** Part of the rate, 0 to 1. */
-  part: number;
+  fraction: number;
   /** Others have to ask this process, and use none by themselves. */
-  isSole: boolean;
+  isAllocator: boolean;
 }
 
 /** Whether one more request may go to a replica. */
--- a/src/retry/index.ts
+++ b/src/retry/index.ts
@@ -1,2 +1,2 @@
-export { decideRetry, earnRetry, newRetryBudget } from "./retry.js";
-export type { RetryAnswer, RetryQuestion } from "./retry.js";
+export { decideRetry, creditRetryBudget, newRetryBudget } from "./retry.js";
+export type { RetryDecision, RetryContext } from "./retry.js";
--- a/src/retry/retry.ts
+++ b/src/retry/retry.ts
@@ -19,12 +19,14 @@
 });
 
 /** A first attempt was made: it earns a part of a retry. */
-export const earnRetry = (bucket: TokenBucket, now: number): TokenBucket =>
-  addTokens(bucket, EARNED_PER_REQUEST, now);
+export const creditRetryBudget = (
+  bucket: TokenBucket,
+  now: number,
+): TokenBucket => addTokens(bucket, EARNED_PER_REQUEST, now);
 
 export const MAX_ATTEMPTS = 4;
 
-export interface RetryQuestion {
+export interface RetryContext {
   failure: RequestFailure;
   repeat: Repeat;
   attempts: number;
@@ -32,7 +34,7 @@
   now: number;
 }
 
-export type RetryAnswer =
+export type RetryDecision =
   | { kind: "again"; bucket: TokenBucket }
   | { kind: "give-up"; why: string; bucket: TokenBucket };
 
@@ -41,11 +43,11 @@
  * `ran` never.
  */
 export const decideRetry = (
-  question: RetryQuestion,
+  question: RetryContext,
   bucket: TokenBucket,
-): RetryAnswer => {
+): RetryDecision => {
   const { failure, repeat, attempts, deadlineAt, now } = question;
-  const giveUp = (why: string): RetryAnswer => ({
+  const giveUp = (why: string): RetryDecision => ({
     kind: "give-up",
     why,
     bucket,
--- a/tests/decisions.test.ts
+++ b/tests/decisions.test.ts
@@ -6,7 +6,7 @@
 import type { Arrival } from "../src/admission/index.js";
 import {
   applyClaimEvent,
-  claimAnswer,
+  evaluateClaim,
   EMPTY_CLAIMS,
 } from "../src/claims/claimTable.js";
 import {
@@ -68,7 +68,7 @@
           const requestId = `r${who}`;
           const request = { service: "s", key: "k", print: "p", requestId };
           if (kind === "begin") {
-            const answer = claimAnswer(table, request);
+            const answer = evaluateClaim(table, request);
             table = applyClaimEvent(table, { kind, request }, 0);
             if (answer.kind !== "run") continue;
             running.add(who);
--- a/tests/gateway/placement.test.ts
+++ b/tests/gateway/placement.test.ts
@@ -75,7 +75,7 @@
     leaving = [];
     local = new LocalPlacement({
       engines: () => ENGINES,
-      share: () => 1,
+      sharingProcesses: () => 1,
       permits: rates,
       log: SILENT,
       now,
@@ -85,13 +85,13 @@
       isEntry: false,
       isHolder: () => true,
       isFresh: () => true,
-      leaseMark: () => undefined,
-      configNews: () => undefined,
-      onLeaving: (engine) => leaving.push(engine),
+      leaseVersion: () => undefined,
+      configUpdate: () => undefined,
+      onEngineLeaving: (engine) => leaving.push(engine),
       onUsage: () => undefined,
-      rates: () => rates.all(now()),
-      onRate: (news) => rates.learn(news, now()),
-      permit: (replica) => {
+      rates: () => rates.activeLimits(now()),
+      onRate: (news) => rates.applyUpdate(news, now()),
+      acquirePermit: (replica) => {
         if (replica === "unheard") throw new Error("thrown on purpose");
         return rates.acquire(replica, now())
           ? { kind: "acquired" }
@@ -118,7 +118,7 @@
       address,
       isStandby: false,
       onAccepted: () => (isAccepted = true),
-      onLost: () => undefined,
+      onDisconnected: () => undefined,
       onState: () => undefined,
       onConfig: () => undefined,
       onRates,
@@ -134,7 +134,7 @@
   /** Runs one request to its end, so that the pace of ends is known. */
   const runOne = async (entry: PlacementClient): Promise<void> => {
     expect((await entry.ask(ask("one")))?.kind).to.equal("granted");
-    entry.note({ kind: "ended", id: "one", ok: true, firstEventMs: 5 });
+    entry.reportEvent({ kind: "ended", id: "one", ok: true, firstEventMs: 5 });
     await until(() => runs() === 0, "the run ends");
   };
 
@@ -164,7 +164,12 @@
       const entry = await connect(undefined, stalledNow);
       const answer = entry.ask(ask("second"));
       await new Promise((resolve) => setTimeout(resolve, 200));
-      other.note({ kind: "ended", id: "first", ok: true, firstEventMs: 5 });
+      other.reportEvent({
+        kind: "ended",
+        id: "first",
+        ok: true,
+        firstEventMs: 5,
+      });
       expect(((await answer) as Grant).ageMs).to.be.below(150);
     });
   });
@@ -188,7 +193,7 @@
         return adopt.call(scheduler, given, ...rest);
       };
       const bad = { ...ask("bad"), route: "bad" };
-      if (tell === "held") entry.tellHeld(bad, HELD, false);
+      if (tell === "held") entry.reportHeldGrant(bad, HELD, false);
       else expect((await entry.ask(bad))?.kind).to.equal("refused");
       expect((await entry.ask(ask("good")))?.kind).to.equal("granted");
     });
@@ -196,23 +201,23 @@
 
   it("hears of engines that leave, and places on", async () => {
     const entry = await connect();
-    entry.note({ kind: "leaving", id: "", engine: "runner" });
+    entry.reportEvent({ kind: "leaving", id: "", engine: "runner" });
     expect((await entry.ask(ask("next")))?.kind).to.equal("granted");
     expect(leaving).to.deep.equal(["runner"]);
   });
 
   it("gives permits for replicas that nobody places on", async () => {
     const entry = await connect();
-    const free = await entry.askPermit("p-1");
+    const free = await entry.requestPermit("p-1");
     expect(free).to.deep.equal({ kind: "acquired" });
-    entry.tellRates([{ replica: "p-1", perS: 2, endedAgoMs: undefined }]);
-    const held = await entry.askPermit("p-1");
+    entry.sendRates([{ replica: "p-1", perS: 2, endedAgoMs: undefined }]);
+    const held = await entry.requestPermit("p-1");
     expect(held).to.deep.equal({ kind: "held-back", waitMs: 251 });
   });
 
   it("answers no ask for a permit that it throws on, and goes on", async () => {
     const entry = await connect();
-    expect(await entry.askPermit("unheard")).to.equal(undefined);
+    expect(await entry.requestPermit("unheard")).to.equal(undefined);
     expect((await entry.ask(ask("next")))?.kind).to.equal("granted");
   });
 
@@ -221,13 +226,14 @@
     const heard: RateNews[] = [];
     await connect((news) => void heard.push(...news));
     const news = { replica: "r", perS: 2, endedAgoMs: undefined };
-    entry.tellRates([news, { ...news, replica: "odd", perS: NaN }]);
+    entry.sendRates([news, { ...news, replica: "odd", perS: NaN }]);
     await until(() => rates.isLimited("r", now()));
-    for (let times = 0; times < 3; times += 1) server.tellRates(SERVICE);
+    for (let times = 0; times < 3; times += 1)
+      server.notifyEntriesOfRates(SERVICE);
     await until(() => heard.length > 0);
-    entry.tellRates([{ ...news, endedAgoMs: 0 }]);
-    await until(() => rates.all(now())[0]?.endedAgoMs !== undefined);
-    server.tellRates(SERVICE);
+    entry.sendRates([{ ...news, endedAgoMs: 0 }]);
+    await until(() => rates.activeLimits(now())[0]?.endedAgoMs !== undefined);
+    server.notifyEntriesOfRates(SERVICE);
     await until(() => heard.length > 1);
     expect(heard.map(({ perS }) => perS)).to.eql([2, 2]);
     expect(heard[0]?.endedAgoMs).to.equal(undefined);
@@ -241,7 +247,12 @@
     expect(first?.kind).to.equal("granted");
     const second = entry.ask(ask("second"));
     await until(() => local.scheduler(SERVICE).waiting === 1);
-    entry.note({ kind: "ended", id: "first", ok: true, firstEventMs: 5 });
+    entry.reportEvent({
+      kind: "ended",
+      id: "first",
+      ok: true,
+      firstEventMs: 5,
+    });
     expect((await second)?.kind).to.equal("granted");
   });
 
@@ -260,7 +271,7 @@
 
   it("grants that entries tell of count, until those entries go", async () => {
     const entry = await connect();
-    entry.tellHeld(ask("held"), HELD, false);
+    entry.reportHeldGrant(ask("held"), HELD, false);
     await until(() => runs() === 1);
     entry.close();
     await until(() => runs() === 0);
@@ -273,10 +284,10 @@
       const reader = engines.find(({ view }) => view.id === "reader");
       return reader?.backlogMs(now()) ?? 0;
     };
-    entry.tellHeld(ask("read"), { ...HELD, reader: "reader" }, true);
+    entry.reportHeldGrant(ask("read"), { ...HELD, reader: "reader" }, true);
     await until(() => runs() === 1);
     expect(backlogMs()).to.equal(0);
-    entry.tellHeld(ask("unread"), { ...HELD, reader: "reader" }, false);
+    entry.reportHeldGrant(ask("unread"), { ...HELD, reader: "reader" }, false);
     await until(() => runs() === 2);
     expect(backlogMs()).to.be.greaterThan(0);
   });
--- a/tests/gateway/scheduling.test.ts
+++ b/tests/gateway/scheduling.test.ts
@@ -1,7 +1,7 @@
 /** Decisions of the scheduler, without I/O. */
 import { expect } from "chai";
 
-import { AskLimit } from "../../src/placement/askLimit.js";
+import { RefusalCache } from "../../src/placement/refusalCache.js";
 import { EngineScheduler } from "../../src/scheduling/index.js";
 import type {
   EngineView,
@@ -470,17 +470,17 @@
   ];
   for (const [at, { name, waiting, later, route }] of cases.entries()) {
     it(name, () => {
-      const limit = new AskLimit();
-      limit.note("lookup", refusal, 1000);
-      const answer = limit.refusal(route, waiting, 1000 + later);
+      const limit = new RefusalCache();
+      limit.record("lookup", refusal, 1000);
+      const answer = limit.recentRefusal(route, waiting, 1000 + later);
       expect(answer).to.equal(at === 0 ? refusal : undefined);
     });
   }
 
   it("go on where the holder grants, or lacks slots only", () => {
-    const limit = new AskLimit();
-    limit.note("lookup", { ...refusal, why: "slots" }, 1000);
-    expect(limit.refusal("lookup", 9, 1000)).to.equal(undefined);
+    const limit = new RefusalCache();
+    limit.record("lookup", { ...refusal, why: "slots" }, 1000);
+    expect(limit.recentRefusal("lookup", 9, 1000)).to.equal(undefined);
   });
 });
 
--- a/tests/quarantine/quarantine.test.ts
+++ b/tests/quarantine/quarantine.test.ts
@@ -2,17 +2,17 @@
 import { expect } from "chai";
 
 import { Quarantine } from "../../src/quarantine/index.js";
-import type { Bar } from "../../src/quarantine/index.js";
+import type { QuarantineRecord } from "../../src/quarantine/index.js";
 import {
-  EndLedger,
+  SuspectTable,
   MAX_SUSPECTS,
-  SUSPECT_KEEP_MS,
-} from "../../src/quarantine/endLedger.js";
+  SUSPECT_RETENTION_MS,
+} from "../../src/quarantine/suspectTable.js";
 import {
-  MAX_BARS,
-  MOST_ENDS,
-  MOST_TRIAL_SENDS,
-  TRIAL_AFTER_MS,
+  MAX_RECORDS,
+  REPLICA_ENDS_TO_BAR,
+  MAX_TRIAL_SENDS,
+  TRIAL_DELAY_MS,
 } from "../../src/quarantine/quarantine.js";
 
 const DEADLY = "4.deadly";
@@ -34,38 +34,39 @@
   Array.from({ length: count }, (_item, at) => `life-${from + at}`);
 
 const endAll = (at: Quarantine, names: readonly string[]): void => {
-  for (const life of names) at.noteEnd([DEADLY], life);
+  for (const life of names) at.recordReplicaEnd([DEADLY], life);
 };
 
 describe("a request under which replicas ended", () => {
   it("is barred after three lives, not before", () => {
     const { add } = fleet();
     const entry = add("a");
-    endAll(entry, lives(MOST_ENDS - 1));
+    endAll(entry, lives(REPLICA_ENDS_TO_BAR - 1));
     expect(entry.verdict(DEADLY, 1).kind).to.equal("free");
-    endAll(entry, lives(1, MOST_ENDS - 1));
+    endAll(entry, lives(1, REPLICA_ENDS_TO_BAR - 1));
     expect(entry.verdict(DEADLY, 1).kind).to.equal("refused");
   });
 
   it("is not barred by one life that is told many times", () => {
     const { add } = fleet();
     const entry = add("a");
-    for (let at = 0; at < 10; at += 1) entry.noteEnd([DEADLY], "life-0");
-    expect(entry.barOf(DEADLY)).to.equal(undefined);
+    for (let at = 0; at < 10; at += 1)
+      entry.recordReplicaEnd([DEADLY], "life-0");
+    expect(entry.activeRecord(DEADLY)).to.equal(undefined);
   });
 
   it("is barred where each of three entries saw one end", () => {
     const { add } = fleet();
-    const entries = lives(MOST_ENDS).map((life) => {
+    const entries = lives(REPLICA_ENDS_TO_BAR).map((life) => {
       const entry = add(`entry of ${life}`);
-      entry.noteEnd([DEADLY, `4.beside-${life}`], life);
+      entry.recordReplicaEnd([DEADLY, `4.beside-${life}`], life);
       return entry;
     });
     const records = entries.map((entry) => entry.toRecord());
-    entries[0]!.learnEnds(records);
-    const bars = entries[0]!.allBars();
+    entries[0]!.applyEndRecords(records);
+    const bars = entries[0]!.allRecords();
     expect(bars.map(({ digest }) => digest)).to.deep.equal([DEADLY]);
-    expect(bars[0]?.lives).to.have.members(lives(MOST_ENDS));
+    expect(bars[0]?.lives).to.have.members(lives(REPLICA_ENDS_TO_BAR));
   });
 
   it("counts what an earlier life of the entry had seen", () => {
@@ -75,16 +76,16 @@
     const restarted = add("a");
     restarted.restore(before.toRecord());
     endAll(restarted, lives(1, 2));
-    expect(restarted.barOf(DEADLY)).to.not.equal(undefined);
+    expect(restarted.activeRecord(DEADLY)).to.not.equal(undefined);
   });
 
   it("is told to others by its bar alone", () => {
     const { add } = fleet();
     const [first, second] = [add("a"), add("b")];
-    endAll(first, lives(MOST_ENDS));
-    expect(second.learnBars(first.allBars())).to.have.length(1);
+    endAll(first, lives(REPLICA_ENDS_TO_BAR));
+    expect(second.applyRecords(first.allRecords())).to.have.length(1);
     expect(second.verdict(DEADLY, 1).kind).to.equal("refused");
-    expect(second.learnBars(first.allBars())).to.have.length(0);
+    expect(second.applyRecords(first.allRecords())).to.have.length(0);
   });
 });
 
@@ -92,27 +93,27 @@
   const barred = () => {
     const { clock, add } = fleet();
     const entry = add("a");
-    endAll(entry, lives(MOST_ENDS));
-    clock.now += TRIAL_AFTER_MS;
+    endAll(entry, lives(REPLICA_ENDS_TO_BAR));
+    clock.now += TRIAL_DELAY_MS;
     const verdict = entry.verdict(DEADLY, ENGINE_SENDS);
     if (verdict.kind !== "may-try") throw new Error(verdict.kind);
-    return { clock, add, entry, bar: verdict.bar };
+    return { clock, add, entry, bar: verdict.record };
   };
 
   it("waits until the ends that barred it are over", () => {
     const { clock, add } = fleet();
     const entry = add("a");
-    endAll(entry, lives(MOST_ENDS));
-    clock.now += TRIAL_AFTER_MS - 1;
+    endAll(entry, lives(REPLICA_ENDS_TO_BAR));
+    clock.now += TRIAL_DELAY_MS - 1;
     expect(entry.verdict(DEADLY, ENGINE_SENDS).kind).to.equal("refused");
   });
 
   it("is one at a time", () => {
     const { entry, bar, add, clock } = barred();
-    const trial = entry.trialOf(bar, ENGINE_SENDS);
+    const trial = entry.startTrial(bar, ENGINE_SENDS);
     const other = add("b");
     for (const each of [entry, other]) {
-      each.learnBars([bar, trial]);
+      each.applyRecords([bar, trial]);
       clock.now += 60 * 60 * 1000;
       expect(each.verdict(DEADLY, 1).kind).to.equal("refused");
     }
@@ -120,48 +121,48 @@
 
   it("lets one go on that survived it, and excuses the ends so far", () => {
     const { entry, bar, add } = barred();
-    const trial = entry.trialOf(bar, ENGINE_SENDS);
-    entry.learnBars([trial]);
+    const trial = entry.startTrial(bar, ENGINE_SENDS);
+    entry.applyRecords([trial]);
     const after = { sends: 2, hasSurvived: true };
-    const cleared = entry.afterTrial(trial, ENGINE_SENDS, after);
-    entry.learnBars([cleared]);
+    const cleared = entry.finishTrial(trial, ENGINE_SENDS, after);
+    entry.applyRecords([cleared]);
     const other = add("b");
-    endAll(other, lives(MOST_ENDS));
-    other.learnBars([cleared]);
+    endAll(other, lives(REPLICA_ENDS_TO_BAR));
+    other.applyRecords([cleared]);
     for (const each of [entry, other]) {
-      each.learnEnds([{ [DEADLY]: lives(MOST_ENDS) }]);
+      each.applyEndRecords([{ [DEADLY]: lives(REPLICA_ENDS_TO_BAR) }]);
       expect(each.verdict(DEADLY, 1).kind).to.equal("free");
       // New ends count from the start.
-      endAll(each, lives(MOST_ENDS, 10));
-      expect(each.barOf(DEADLY)).to.not.equal(undefined);
+      endAll(each, lives(REPLICA_ENDS_TO_BAR, 10));
+      expect(each.activeRecord(DEADLY)).to.not.equal(undefined);
     }
   });
 
   it("is the last one where its replica ended", () => {
     const { entry, bar, clock } = barred();
-    const trial = entry.trialOf(bar, 1);
-    entry.learnBars([trial]);
-    entry.noteEnd([DEADLY], "life-of-trial");
+    const trial = entry.startTrial(bar, 1);
+    entry.applyRecords([trial]);
+    entry.recordReplicaEnd([DEADLY], "life-of-trial");
     const after = { sends: 1, hasSurvived: false };
-    entry.learnBars([entry.afterTrial(trial, 1, after)]);
+    entry.applyRecords([entry.finishTrial(trial, 1, after)]);
     clock.now += 60 * 60 * 1000;
     expect(entry.verdict(DEADLY, 1).kind).to.equal("refused");
   });
 
   it("may come again where it was sent nowhere", () => {
     const { entry, bar, clock } = barred();
-    const trial = entry.trialOf(bar, ENGINE_SENDS);
-    entry.learnBars([trial]);
+    const trial = entry.startTrial(bar, ENGINE_SENDS);
+    entry.applyRecords([trial]);
     const after = { sends: 0, hasSurvived: false };
-    entry.learnBars([entry.afterTrial(trial, ENGINE_SENDS, after)]);
-    clock.now += TRIAL_AFTER_MS;
+    entry.applyRecords([entry.finishTrial(trial, ENGINE_SENDS, after)]);
+    clock.now += TRIAL_DELAY_MS;
     expect(entry.verdict(DEADLY, ENGINE_SENDS).kind).to.equal("may-try");
   });
 
   it("does not end by what ended under runs from before the bar", () => {
     const { entry, clock } = barred();
-    entry.noteEnd([DEADLY], "life-late");
-    clock.now += TRIAL_AFTER_MS;
+    entry.recordReplicaEnd([DEADLY], "life-late");
+    clock.now += TRIAL_DELAY_MS;
     expect(entry.verdict(DEADLY, ENGINE_SENDS).kind).to.equal("may-try");
   });
 
@@ -169,16 +170,16 @@
     const { entry, clock } = barred();
     let sends = 0;
     for (let at = 0; at < 100; at += 1) {
-      clock.now += TRIAL_AFTER_MS;
+      clock.now += TRIAL_DELAY_MS;
       const verdict = entry.verdict(DEADLY, ENGINE_SENDS);
       if (verdict.kind !== "may-try") break;
-      const trial = entry.trialOf(verdict.bar, ENGINE_SENDS);
-      entry.learnBars([trial]);
+      const trial = entry.startTrial(verdict.record, ENGINE_SENDS);
+      entry.applyRecords([trial]);
       sends += 1;
       const after = { sends: 1, hasSurvived: false };
-      entry.learnBars([entry.afterTrial(trial, ENGINE_SENDS, after)]);
+      entry.applyRecords([entry.finishTrial(trial, ENGINE_SENDS, after)]);
     }
-    expect(sends).to.be.within(1, MOST_TRIAL_SENDS);
+    expect(sends).to.be.within(1, MAX_TRIAL_SENDS);
   });
 });
 
@@ -188,11 +189,11 @@
     const entry = add("a");
     const popular = "4.popular";
     for (const life of lives(20)) {
-      entry.noteEnd([popular], life);
-      expect(entry.noteSurvived(popular)).to.equal(true);
+      entry.recordReplicaEnd([popular], life);
+      expect(entry.recordSurvival(popular)).to.equal(true);
     }
-    expect(entry.barOf(popular)).to.equal(undefined);
-    expect(entry.mightKnow(4)).to.equal(false);
+    expect(entry.activeRecord(popular)).to.equal(undefined);
+    expect(entry.mayBeTracked(4)).to.equal(false);
   });
 
   it("are not barred, a thousand of them, where one is the cause", () => {
@@ -200,19 +201,22 @@
     const entry = add("a");
     for (const life of lives(25)) {
       const beside = lives(40, 1000 + 40 * Number(life.slice(5)));
-      entry.noteEnd([...beside.map((name) => `9.${name}`), DEADLY], life);
+      entry.recordReplicaEnd(
+        [...beside.map((name) => `9.${name}`), DEADLY],
+        life,
+      );
     }
-    const barred = entry.allBars().map(({ digest }) => digest);
+    const barred = entry.allRecords().map(({ digest }) => digest);
     expect(barred).to.deep.equal([DEADLY]);
   });
 
   it("are told apart by the size of their body, without a digest", () => {
     const { add } = fleet();
     const entry = add("a");
-    expect(entry.mightKnow(0)).to.equal(false);
-    entry.noteEnd(["z.x"], "life-0");
-    expect(entry.mightKnow(35)).to.equal(true);
-    expect(entry.mightKnow(34)).to.equal(false);
+    expect(entry.mayBeTracked(0)).to.equal(false);
+    entry.recordReplicaEnd(["z.x"], "life-0");
+    expect(entry.mayBeTracked(35)).to.equal(true);
+    expect(entry.mayBeTracked(34)).to.equal(false);
   });
 });
 
@@ -234,33 +238,34 @@
       add(`entry-${at}`),
     );
     const tell = (): void => {
-      const bars = entries.flatMap((entry) => entry.allBars());
-      entries.forEach((entry) => entry.learnBars(bars));
+      const bars = entries.flatMap((entry) => entry.allRecords());
+      entries.forEach((entry) => entry.applyRecords(bars));
     };
     entries.forEach((entry) => endAll(entry, lives(REPLICAS)));
     tell();
     let refused = 0;
-    let trial: { entry: Quarantine; bar: Bar; endsAt: number } | undefined;
+    let trial:
+      { entry: Quarantine; bar: QuarantineRecord; endsAt: number } | undefined;
     for (; clock.now < 2 * BACK_AT_MS; clock.now += EACH_MS) {
       const isBack = clock.now >= BACK_AT_MS;
       if (trial !== undefined && clock.now >= trial.endsAt) {
         const { entry, bar } = trial;
         const outcome = { sends: isBack ? 2 : 0, hasSurvived: isBack };
-        entry.learnBars([entry.afterTrial(bar, ENGINE_SENDS, outcome)]);
+        entry.applyRecords([entry.finishTrial(bar, ENGINE_SENDS, outcome)]);
         trial = undefined;
         tell();
       }
       const entry = entries[Math.floor(clock.now / EACH_MS) % ENTRIES]!;
       const verdict = entry.verdict(DEADLY, ENGINE_SENDS);
       if (verdict.kind === "may-try") {
-        const bar = entry.trialOf(verdict.bar, ENGINE_SENDS);
-        entry.learnBars([bar]);
+        const bar = entry.startTrial(verdict.record, ENGINE_SENDS);
+        entry.applyRecords([bar]);
         tell();
         trial = { entry, bar, endsAt: clock.now + (isBack ? RUN_MS : 0) };
       }
       if (verdict.kind === "refused" && isBack) refused += 1;
     }
-    const most = (TRIAL_AFTER_MS + 2 * RUN_MS) / EACH_MS;
+    const most = (TRIAL_DELAY_MS + 2 * RUN_MS) / EACH_MS;
     expect(refused).to.be.within(1, most);
     const kinds = entries.map((entry) => entry.verdict(DEADLY, 1).kind);
     expect(new Set(kinds)).to.deep.equal(new Set(["free"]));
@@ -269,7 +274,7 @@
 
 describe("what is remembered", () => {
   it("stays bounded, and new bodies push out none that came again", () => {
-    const ledger = new EndLedger(() => 0);
+    const ledger = new SuspectTable(() => 0);
     ledger.add([DEADLY], "life-0");
     ledger.add([DEADLY], "life-1");
     for (let at = 0; at < MAX_SUSPECTS * 4; at += 1) {
@@ -281,14 +286,14 @@
 
   it("is forgotten some time after the last end", () => {
     const clock = { now: 0 };
-    const ledger = new EndLedger(() => clock.now);
+    const ledger = new SuspectTable(() => clock.now);
     ledger.add([DEADLY], "life-0");
-    clock.now = SUSPECT_KEEP_MS - 1;
+    clock.now = SUSPECT_RETENTION_MS - 1;
     ledger.add([DEADLY, "9.other"], "life-1");
-    clock.now = 2 * SUSPECT_KEEP_MS - 2;
+    clock.now = 2 * SUSPECT_RETENTION_MS - 2;
     ledger.add(["9.new"], "life-2");
     expect(ledger.lives(DEADLY).size).to.equal(2);
-    clock.now = 2 * SUSPECT_KEEP_MS;
+    clock.now = 2 * SUSPECT_RETENTION_MS;
     ledger.add(["9.new"], "life-3");
     expect(ledger.lives(DEADLY).size).to.equal(0);
     expect(ledger.lives("9.new").size).to.equal(2);
@@ -296,7 +301,7 @@
 
   it("keeps the same bars at each process, in whatever order they came", () => {
     const { add } = fleet();
-    const bars = Array.from({ length: MAX_BARS + 9 }, (_item, at) => ({
+    const bars = Array.from({ length: MAX_RECORDS + 9 }, (_item, at) => ({
       digest: `9.${at}`,
       state: "barred" as const,
       step: 1,
@@ -306,10 +311,10 @@
       at: at % 7,
     }));
     const [first, second] = [add("a"), add("b")];
-    first.learnBars(bars);
-    second.learnBars([...bars].reverse());
+    first.applyRecords(bars);
+    second.applyRecords([...bars].reverse());
     const kept = (entry: Quarantine) =>
-      entry.allBars().map(({ digest }) => digest);
+      entry.allRecords().map(({ digest }) => digest);
     expect(kept(first)).to.have.members(kept(second));
   });
 
@@ -325,11 +330,11 @@
       by: "b",
       at: 0,
     });
-    entry.learnBars([bar(DEADLY, "barred")]);
-    for (let at = 0; at < MAX_BARS * 3; at += 1) {
-      entry.learnBars([bar(`9.${at}`, "cleared")]);
+    entry.applyRecords([bar(DEADLY, "barred")]);
+    for (let at = 0; at < MAX_RECORDS * 3; at += 1) {
+      entry.applyRecords([bar(`9.${at}`, "cleared")]);
     }
-    expect(entry.allBars()).to.have.length(MAX_BARS);
-    expect(entry.barOf(DEADLY)).to.not.equal(undefined);
+    expect(entry.allRecords()).to.have.length(MAX_RECORDS);
+    expect(entry.activeRecord(DEADLY)).to.not.equal(undefined);
   });
 });
--- a/tests/support/permitFleet.ts
+++ b/tests/support/permitFleet.ts
@@ -49,8 +49,8 @@
   const rng = seededRng(options.seed);
   const entries = newEntries(options, rng);
   const holders = {
-    first: spender(rng, { part: 1, isSole: true }),
-    next: spender(rng, { part: 1, isSole: true }),
+    first: spender(rng, { fraction: 1, isAllocator: true }),
+    next: spender(rng, { fraction: 1, isAllocator: true }),
   };
   const all = [...entries.map(({ rates }) => rates), ...Object.values(holders)];
   const arrivals: JudgedArrival[] = [];
@@ -67,7 +67,7 @@
     const which = holderAt(now);
     const holder = which === "none" ? undefined : holders[which];
     if (holder !== lastHolder)
-      holder?.hear(REPLICA, word(current(named, now), now), now);
+      holder?.recordAnswer(REPLICA, word(current(named, now), now), now);
     lastHolder = holder;
     if (now < (options.idleUntil ?? 0)) continue;
     for (const [at, entry] of entries.entries()) {
@@ -100,7 +100,7 @@
 ): Entry[] => {
   const busy = Math.max(1, Math.round(entries / 10));
   return Array.from({ length: entries }, (_, at) => {
-    const share = { part: UNLED_PART / entries, isSole: false };
+    const share = { fraction: UNLED_PART / entries, isAllocator: false };
     const part =
       load === "even"
         ? 1 / entries
@@ -128,7 +128,7 @@
   perS: number | undefined,
   now: number,
 ): void => {
-  for (const rates of all) rates.hear(REPLICA, word(perS, now), now);
+  for (const rates of all) rates.recordAnswer(REPLICA, word(perS, now), now);
 };
 
 const permit = (rates: RateLimits, now: number): PermitAnswer =>
