--- a/src/claims/claimTable.ts
+++ b/src/claims/claimTable.ts
@@ -1,17 +1,17 @@
 /**
- * One shard of claims: pure rules over the value of one stored object. A key
+ * Rules for one shard of claims, as pure functions over the stored value. A key
  * is claimed by one request; only that request may finish or release it.
  */
 import type { ClaimAnswer, ClaimRequest, StoredAnswer } from "./types.js";
 
-/** One claimed key. */
+/** A claimed idempotency key. */
 export interface Claim {
   requestId: string;
   print: string;
   /** When it was claimed, ms since 1970. */
   at: number;
   answer?: StoredAnswer;
-  /** It ran, but its answer is too large to be kept. */
+  /** The request ran, but its answer is too large to be stored. */
   ran?: boolean;
 }
 
@@ -22,13 +22,13 @@
 
 export const EMPTY_CLAIMS: ClaimTable = { claims: {} };
 
-/** Largest shard, bytes; the object API takes a megabyte. */
+/** Maximum size of a shard, bytes; the object API accepts a megabyte. */
 export const MAX_SHARD_BYTES = 900_000;
 const RETRY_IN_USE_MS = 1000;
 
 export type ClaimEvent =
   | { kind: "begin"; request: ClaimRequest }
-  /** `answer` is absent where it is too large to be kept. */
+  /** `answer` is absent if it is too large to be stored. */
   | { kind: "finish"; request: ClaimRequest; answer?: StoredAnswer }
   | { kind: "release"; request: ClaimRequest };
 
@@ -45,7 +45,7 @@
   },
 });
 
-const notKept = (): ClaimAnswer => ({
+const answerNotStored = (): ClaimAnswer => ({
   kind: "refused",
   failure: {
     status: 409,
@@ -65,7 +65,7 @@
   },
 });
 
-/** What a begin comes to on this table. */
+/** The result of a `begin` event on this table. */
 export const evaluateClaim = (
   table: ClaimTable,
   request: ClaimRequest,
@@ -76,12 +76,15 @@
   if (claim.answer !== undefined) {
     return { kind: "replay", answer: claim.answer };
   }
-  if (claim.ran === true) return notKept();
+  if (claim.ran === true) return answerNotStored();
   if (claim.requestId === request.requestId) return { kind: "run" };
   return inUse();
 };
 
-/** The table after one event. The same event twice changes nothing more. */
+/**
+ * The table after one event. Idempotent: applying an event twice has no further
+ * effect.
+ */
 export const applyClaimEvent = (
   table: ClaimTable,
   event: ClaimEvent,
@@ -103,8 +106,8 @@
     }
     case "release": {
       if (held?.requestId !== requestId || held.ran) return table;
-      const { [key]: _gone, ...rest } = table.claims;
-      void _gone;
+      const { [key]: _released, ...rest } = table.claims;
+      void _released;
       return { claims: rest };
     }
   }
--- a/src/claims/storedClaims.ts
+++ b/src/claims/storedClaims.ts
@@ -1,6 +1,6 @@
 /**
- * Claims kept in the object API. Claims of one shard that come while a write
- * is out go together in the next one, so that many requests share a write.
+ * Claims storedObject in the object API. Claims of a shard that arrive during a write
+ * are batched into the next one, so that many requests share a write.
  */
 import { randomUUID } from "node:crypto";
 
@@ -25,11 +25,14 @@
 
 export const CLAIMS_KIND = "claims";
 const SHARDS = 16;
-const KEEP_MS = 3_600_000;
-const MAX_ROUNDS = 20;
+const CLAIM_RETENTION_MS = 3_600_000;
+const MAX_WRITE_ATTEMPTS = 20;
 const RETRY_AFTER_MS = 1000;
-/** A larger answer is not kept; its key is answered as one that ran. */
-const MAX_KEPT_BYTES = 4096;
+/**
+ * A larger answer is not storedObject; a repeat of its key is told that the request
+ * ran.
+ */
+const MAX_STORED_ANSWER_BYTES = 4096;
 
 interface Pending {
   event: ClaimEvent;
@@ -70,9 +73,9 @@
   }
 
   async finish(request: ClaimRequest, answer: StoredAnswer): Promise<void> {
-    const isKept = answer.body.length <= MAX_KEPT_BYTES;
+    const isStored = answer.body.length <= MAX_STORED_ANSWER_BYTES;
     const event: ClaimEvent = { kind: "finish", request };
-    await this.submit(isKept ? { ...event, answer } : event);
+    await this.submit(isStored ? { ...event, answer } : event);
   }
 
   async release(request: ClaimRequest): Promise<void> {
@@ -83,7 +86,7 @@
     const shard = this.shardOf(event.request);
     return new Promise((resolve) => {
       shard.pending.push({ event, resolve });
-      if (!shard.isWriting) void this.drain(shard);
+      if (!shard.isWriting) void this.writePending(shard);
     });
   }
 
@@ -102,7 +105,7 @@
     return fresh;
   }
 
-  private async drain(shard: Shard): Promise<void> {
+  private async writePending(shard: Shard): Promise<void> {
     shard.isWriting = true;
     while (shard.pending.length > 0) {
       const batch = shard.pending;
@@ -112,14 +115,14 @@
     shard.isWriting = false;
   }
 
-  /** One conditional write for all of a batch; again after a conflict. */
+  /** Applies a batch in one conditional write, retried after a conflict. */
   private async writeBatch(shard: Shard, batch: Pending[]): Promise<void> {
     let why = "too many writers";
     let isUnsure = false;
-    for (let round = 0; round < MAX_ROUNDS; round += 1) {
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt += 1) {
       const table = shard.last?.value ?? EMPTY_CLAIMS;
-      const { next, answers } = this.applied(table, batch);
-      if (next === table && shard.last !== undefined && round > 0) {
+      const { next, answers } = this.applyBatch(table, batch);
+      if (next === table && shard.last !== undefined && attempt > 0) {
         return this.resolveAll(batch, answers);
       }
       if (JSON.stringify(next).length > MAX_SHARD_BYTES) {
@@ -138,7 +141,7 @@
       );
       if (result.kind === "written") {
         const { version } = result;
-        shard.last = this.stored(shard.name, version, writeId, next);
+        shard.last = this.storedObject(shard.name, version, writeId, next);
         return this.resolveAll(batch, answers);
       }
       if (result.kind !== "conflict") {
@@ -163,13 +166,15 @@
     });
   }
 
-  /** One event after the other: two begins of a key have one winner. */
-  private applied(
+  /**
+   * Applies events in order: of two `begin` events for a key, the first wins.
+   */
+  private applyBatch(
     table: ClaimTable,
     batch: Pending[],
   ): { next: ClaimTable; answers: ClaimAnswer[] } {
     const now = this.wallClock();
-    let next = pruneClaims(table, now, KEEP_MS);
+    let next = pruneClaims(table, now, CLAIM_RETENTION_MS);
     const answers: ClaimAnswer[] = [];
     for (const { event } of batch) {
       answers.push(evaluateClaim(next, event.request));
@@ -178,7 +183,7 @@
     return { next, answers };
   }
 
-  private stored(
+  private storedObject(
     name: string,
     version: number,
     writeId: string,
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -1,14 +1,16 @@
-/** Claims: the proof that a never-repeat request runs at most once. */
+/**
+ * Claims guarantee that a request that must not be repeated runs at most once.
+ */
 import type { RequestFailure } from "../shared/errors.js";
 
-/** An answer that is kept so that a repeat of its key gets it again. */
+/** A stored answer, replayed when its key is sent again. */
 export interface StoredAnswer {
   status: number;
   contentType: string;
   body: string;
 }
 
-/** What the caller's request is known by. */
+/** Identifies the caller's request. */
 export interface ClaimRequest {
   service: string;
   /** The caller's idempotency key. */
@@ -24,11 +26,11 @@
   | { kind: "replay"; answer: StoredAnswer }
   | { kind: "refused"; failure: RequestFailure };
 
-/** Claims a key before the run, and keeps the answer after it. */
+/** Claims a key before the request runs, and stores the answer afterwards. */
 export interface Claims {
   begin(request: ClaimRequest): Promise<ClaimAnswer>;
-  /** The request ran and this is its answer. */
+  /** The request ran with this answer. */
   finish(request: ClaimRequest, answer: StoredAnswer): Promise<void>;
-  /** Proved: the request did not run; the key is free again. */
+  /** Frees the key; call only if the request is proven not to have run. */
   release(request: ClaimRequest): Promise<void>;
 }
--- a/src/placement/holderConnection.ts
+++ b/src/placement/holderConnection.ts
@@ -1,17 +1,17 @@
-/** What one process knows of the holder of one service. */
+/** What one process knows about the lease holder of one service. */
 import type { LeaseKeeper } from "./leaseKeeper.js";
 import type { PlacementClient } from "./placementClient.js";
 
-/** The largest number of entries that was counted counts for this long, ms. */
-const ENTRIES_HOLD_MS = 30_000;
+/** How long the highest entry count stays valid, ms. */
+const ENTRY_COUNT_TTL_MS = 30_000;
 
 export class HolderConnection {
   client: PlacementClient | undefined;
-  /** Whether the holder says that its lease is fresh. */
+  /** Whether the holder reports that its lease is fresh. */
   isFresh = true;
-  /** Since when there is no holder with a fresh lease, ms. */
+  /** Since when there has been no holder with a fresh lease, ms. */
   noFreshHolderSince: number | undefined;
-  /** How long this process leaves looking for another to others, ms. */
+  /** How long this process waits for others to find a new holder first, ms. */
   searchDelayMs = 0;
   private counted: { entryCount: number; at: number } | undefined;
 
@@ -20,18 +20,21 @@
     readonly keeper: LeaseKeeper,
   ) {}
 
-  /** The holder, this process or another, counts so many entries. */
+  /**
+   * Records the entry count reported by the holder (this process or another).
+   */
   recordEntryCount(entries: number, now: number): void {
     const { counted } = this;
-    const isOld = counted === undefined || now - counted.at > ENTRIES_HOLD_MS;
+    const isOld =
+      counted === undefined || now - counted.at > ENTRY_COUNT_TTL_MS;
     if (isOld || entries >= counted.entryCount) {
       this.counted = { entryCount: entries, at: now };
     }
   }
 
   /**
-   * The most that were counted lately, one at least; undefined: nobody has. A
-   * new holder counts from one on while they come to it.
+   * The highest recent entry count, at least 1; undefined if none is known. A
+   * new holder starts counting at one while entries connect to it.
    */
   get entryCount(): number | undefined {
     const { counted } = this;
--- a/src/placement/leaseKeeper.ts
+++ b/src/placement/leaseKeeper.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps or seeks the lease of one service's scheduler in the store. Its
- * holder places the requests of all entries and orders changes of stage;
- * placing needs no authority, orders need a lease that was renewed lately.
+ * Acquires and renews the lease of one service's scheduler in the store. The
+ * lease holder places the requests of all entries and orders stage changes.
+ * Placing needs no authority; orders need a recently renewed lease.
  */
 import { z } from "zod/v4";
 
@@ -18,20 +18,20 @@
 import type { ReadCost } from "../scheduling/index.js";
 import type { Log } from "../telemetry/index.js";
 
-/** Object kind of leases; named by their service. */
+/** Object kind of leases; each is named after its service. */
 export const LEASE_KIND = "leases";
 
 const leaseSchema = z.object({
   holder: z.string(),
-  /** Grows with each new holder; orders bear it. */
+  /** Incremented with each new holder; sent as the fencing number of orders. */
   epoch: z.number().int().nonnegative(),
-  /** Grows with each renewal. */
+  /** Incremented with each renewal. */
   beat: z.number().int().nonnegative(),
-  /** Where the holder places requests. */
+  /** Address at which the holder accepts placement asks. */
   address: z.string(),
   /**
-   * What the holder has learnt of its engines' pace, so that the next one
-   * need not begin with guesses; absent while it has learnt nothing.
+   * The holder's measurements of its engines' pace, so that the next holder
+   * need not start from estimates; absent until something is measured.
    */
   pace: z
     .object({ fixedMs: z.number(), tokenMs: z.number(), mPairMs: z.number() })
@@ -40,7 +40,7 @@
 
 type StoredLease = z.infer<typeof leaseSchema>;
 
-/** One state of a lease: it changes with each renewal. */
+/** Identifies one state of a lease; changes with each renewal. */
 export interface LeaseVersion {
   epoch: number;
   beat: number;
@@ -52,18 +52,27 @@
   self: string;
   address: string;
   leaseMs: number;
-  /** How long it leaves a free lease to others, ms. */
+  /** How long a free lease is left to other processes, ms. */
   acquireDelayMs: number;
-  /** The same for a lease that nobody has held before, ms. */
+  /** The same for a lease that has never been held, ms. */
   firstAcquireDelayMs: number;
-  /** What this process has learnt of its engines' pace. */
+  /** What this process has measured of its engines' pace. */
   pace(): ReadCost | undefined;
-  /** What the last holder had learnt was read; also an own earlier life. */
+  /**
+   * Called with the pace stored by the previous holder, which may be an earlier
+   * run of this process.
+   */
   onPace(cost: ReadCost): void;
   log: Log;
-  /** For how long others left the lease alone: no suspension counts. */
+  /**
+   * Clock for how long others have left the lease unchanged; excludes time in
+   * which the machine was suspended.
+   */
   now: () => number;
-  /** For how long this process may rely on it: suspensions count. */
+  /**
+   * Clock for how long this process may rely on its lease; includes time in
+   * which the machine was suspended.
+   */
   leaseNow: () => number;
 }
 
@@ -71,24 +80,27 @@
   private state: LeaseState = NO_LEASE;
   private stored: StoredLease | undefined;
   private revision = ABSENT;
-  /** Of the leases seen: a fence never falls, also past an unreadable one. */
+  /**
+   * Highest epoch seen: a fencing number never decreases, even after an
+   * unreadable lease.
+   */
   private highestEpoch = 0;
   private mustRead = true;
-  /** Position of the store when the lease was read last. */
+  /** Position of the store at the last read of the lease. */
   private readAt = 0;
-  /** Whether this process has sought it in this life. */
-  private hasHeld = false;
-  /** Since when it has been looking for a holder, ms. */
+  /** Whether this process has sent a write for the lease since it started. */
+  private hasSentWrite = false;
+  /** Since when this process has been looking for a holder, ms. */
   private lookingSince: number | undefined;
 
   constructor(private readonly options: LeaseKeeperOptions) {}
 
-  /** Whether this process took the lease and has seen no other holder. */
+  /** Whether this process took the lease and has seen no other holder since. */
   get isHolder(): boolean {
     return this.state.sentAt !== undefined;
   }
 
-  /** Whether orders may be given now. */
+  /** Whether the lease is recent enough to give orders. */
   get isFresh(): boolean {
     const { self, leaseMs, leaseNow } = this.options;
     return isHolding(this.state, self, leaseMs, leaseNow());
@@ -106,17 +118,17 @@
   }
 
   /**
-   * The lease of an earlier life of this process, on this machine: nobody
-   * holds it any more, so that there is nothing to wait for.
+   * Whether the lease was written by an earlier run of this process at the same
+   * address: nobody holds it any more, so there is nothing to wait for.
    */
-  private get isOwnLeftover(): boolean {
+  private get isFromEarlierRun(): boolean {
     const { self, address } = this.options;
     const { stored } = this;
     const isOwn = stored?.holder === self && stored.address === address;
-    return isOwn && !this.isHolder && !this.hasHeld;
+    return isOwn && !this.isHolder && !this.hasSentWrite;
   }
 
-  /** The holder said that its lease stood so a moment ago. */
+  /** Records the lease version that the holder reported just now. */
   onLeaseReported(told: LeaseVersion): void {
     const { stored } = this;
     if (this.isHolder || stored === undefined) return;
@@ -127,14 +139,20 @@
     this.state = seeLease(this.state, lease, self, now());
   }
 
-  /** What this process wrote last as the holder; undefined for others. */
+  /**
+   * The version that this process wrote last as the holder; undefined if it is
+   * not the holder.
+   */
   get version(): LeaseVersion | undefined {
     if (!this.isHolder || this.stored === undefined) return undefined;
     const { epoch, beat } = this.stored;
     return { epoch, beat };
   }
 
-  /** One step; `mustLook`: the holder can't be reached or is unsure. */
+  /**
+   * Runs one step. `mustLook`: the holder is unreachable or its lease not
+   * fresh.
+   */
   async step(mustLook: boolean): Promise<void> {
     const { self, leaseMs, now, leaseNow } = this.options;
     if (!this.isHolder && !mustLook) {
@@ -143,7 +161,7 @@
     }
     this.lookingSince ??= now();
     if (this.mustRead || !this.isHolder) await this.read();
-    const next = this.isOwnLeftover
+    const next = this.isFromEarlierRun
       ? "take"
       : leaseStep(this.state, self, leaseMs, now(), leaseNow());
     switch (next) {
@@ -158,10 +176,11 @@
   }
 
   /**
-   * A store that has come back from a copy forgets epochs that orders have
-   * borne, and so may every process that knew them. Its positions go on, and
-   * each lease is taken behind the one before: they are fences that no holder
-   * of an earlier era has had, nor one that a late write has hidden.
+   * A store restored from a copy loses epochs that orders have already carried,
+   * and every process that knew them may be gone too. Store positions still
+   * increase, and each lease is taken at a later position than the one before,
+   * so after a restore the position serves as the epoch. No holder of an
+   * earlier era has used it, nor one hidden by a late write.
    */
   private get nextEpoch(): number {
     const { era } = fromPosition(this.readAt);
@@ -200,7 +219,8 @@
       this.lookingSince = now();
       this.state = { ...this.state, sentAt: undefined };
     }
-    // Its lease was newer than the copy that the store came back from.
+    // This process's lease was newer than the copy that the store was restored
+    // from.
     if (wasHolder && item === undefined) this.lookingSince = -Infinity;
     if (wasHolder && !this.isHolder) {
       log.warn("lease lost", { service, holder: parsed.data?.holder });
@@ -214,7 +234,7 @@
     const sentAt = { now: now(), leaseNow: leaseNow() };
     const result = await feed.write(LEASE_KIND, service, lease, this.revision);
     const isSent = result.kind !== "refused" && result.kind !== "went-back";
-    if (isSent) this.hasHeld = true;
+    if (isSent) this.hasSentWrite = true;
     switch (result.kind) {
       case "written": {
         const isNew = !this.isHolder;
--- a/src/placement/localPlacement.ts
+++ b/src/placement/localPlacement.ts
@@ -1,4 +1,4 @@
-/** Placement by this process's own schedulers, one a service. */
+/** Places requests with this process's own schedulers, one per service. */
 import { EngineScheduler } from "../scheduling/index.js";
 import type {
   EngineView,
@@ -16,27 +16,29 @@
 export interface LocalPlacementOptions {
   /** The engines of a service that may get new work. */
   engines(service: string): readonly EngineView[];
-  /** How many processes place on the same engines without talking. */
+  /**
+   * Number of processes that place on the same engines without coordination.
+   */
   sharingProcesses(service: string): number;
   permits: EnginePermits;
   log: Log;
   now: () => number;
 }
 
-/** Gets the answer of a request that was queued. */
+/** Called with the answer to a queued request. */
 type AnswerCallback = (answer: PlacementAnswer) => void;
 
 /**
- * While requests wait, engines that come free are looked for each, ms. Work
- * is given out far enough ahead that engines don't stand idle meanwhile;
- * looked for at each report on a request, they would cost the holder most of
- * its processor time in a rush.
+ * Interval at which free engines are looked for while requests are queued, ms.
+ * Work is assigned far enough ahead that engines don't idle in between; looking
+ * at each report on a request would take most of the holder's processor time
+ * under a burst.
  */
-const SETTLE_MS = 5;
+const SETTLE_INTERVAL_MS = 5;
 
 export class LocalPlacement implements Placement {
   private readonly schedulers = new Map<string, EngineScheduler>();
-  /** By id of the request that waits. */
+  /** Callbacks of queued requests, by request id. */
   private readonly queued = new Map<string, AnswerCallback>();
   private timer: NodeJS.Timeout | undefined;
 
@@ -49,7 +51,10 @@
     });
   }
 
-  /** The same without waiting; `onAnswer` is called where it is queued. */
+  /**
+   * Like `place`, without waiting; `onAnswer` is called if the request is
+   * queued.
+   */
   placeNow(
     ask: PlacementAsk,
     onAnswer: AnswerCallback,
@@ -58,21 +63,21 @@
     const answer = scheduler.place(ask, this.options.now());
     if (answer.kind === "queued") {
       this.queued.set(ask.id, onAnswer);
-      this.timer ??= setTimeout(() => this.onTime(), SETTLE_MS);
+      this.timer ??= setTimeout(() => this.onTime(), SETTLE_INTERVAL_MS);
     }
     return answer;
   }
 
   /**
-   * Takes over a grant that another scheduler has given; `isRead`: an engine
-   * has read its prompt.
+   * Takes over a grant given by another scheduler; `isRead`: an engine has
+   * already read its prompt.
    */
   adopt(ask: PlacementAsk, grant: Grant, isRead = false): void {
     const scheduler = this.refresh(ask.service);
     scheduler.adopt(ask, grant, isRead, this.options.now());
   }
 
-  /** An engine says that it holds these parts. */
+  /** Records the prompt parts that an engine reports as cached. */
   recordCachedParts(
     service: string,
     engine: string,
@@ -87,12 +92,12 @@
     if (event.kind === "ended") this.queued.delete(event.id);
   }
 
-  /** The request is given up; what waits for it hears nothing more. */
+  /** Cancels a request; its callback is not called any more. */
   cancel(service: string, id: string): void {
     this.reportEvent(service, { kind: "ended", id, ok: true, firstEventMs: 0 });
   }
 
-  /** The service's scheduler, with the engines that there are now. */
+  /** The service's scheduler, updated with the current engines. */
   refresh(service: string): EngineScheduler {
     const scheduler = this.scheduler(service);
     scheduler.setEngines(this.options.engines(service));
@@ -108,7 +113,7 @@
     return fresh;
   }
 
-  /** Drops what was never reported on. */
+  /** Drops runs whose end was never reported. */
   expire(): void {
     const { log, now } = this.options;
     for (const [service, scheduler] of this.schedulers) {
@@ -128,7 +133,7 @@
       this.settle(this.refresh(service));
     }
     if (this.queued.size === 0) return;
-    this.timer = setTimeout(() => this.onTime(), SETTLE_MS);
+    this.timer = setTimeout(() => this.onTime(), SETTLE_INTERVAL_MS);
   }
 
   private settle(scheduler: EngineScheduler): void {
--- a/src/placement/messages.ts
+++ b/src/placement/messages.ts
@@ -1,4 +1,4 @@
-/** Placement asks and answers as messages between gateways, both ways. */
+/** Converts placement asks and answers to and from gateway messages. */
 import type {
   ConfigAnswer,
   PlaceAsk,
@@ -17,39 +17,40 @@
 import { REFUSAL_CAUSES } from "../scheduling/index.js";
 import type { ConfigNews, WindowCounts } from "../workspaces/index.js";
 
-const MOST_UINT32 = 2 ** 32 - 1;
-const MOST_INT32 = 2 ** 31 - 1;
+const MAX_UINT32 = 2 ** 32 - 1;
+const MAX_INT32 = 2 ** 31 - 1;
 
-/** NaN counts as the least. */
-const between = (least: number, value: number, most: number): number =>
+/** Rounds and clamps to a range; NaN becomes 0 before clamping. */
+const clampRounded = (least: number, value: number, most: number): number =>
   Math.min(most, Math.max(least, Math.round(value) || 0));
 
 /**
- * Callers name these numbers. One that a message can't hold ends the stream
- * with the asks of all requests, and again at the next holder.
+ * Clamps to uint32. Callers choose these numbers; one that a message can't hold
+ * would end the stream with the asks of all requests, and again at the next
+ * holder.
  */
-const whole = (value: number): number => between(0, value, MOST_UINT32);
+const toUint32 = (value: number): number => clampRounded(0, value, MAX_UINT32);
 
-/** May be negative: that time is over. */
-const signedMs = (value: number): number =>
-  between(-MOST_INT32, value, MOST_INT32);
+/** Clamps to int32; negative if the time has already passed. */
+const toInt32 = (value: number): number =>
+  clampRounded(-MAX_INT32, value, MAX_INT32);
 
 export const toPlaceAsk = (ask: PlacementAsk): PlaceAsk => ({
   id: ask.id,
   route: ask.route,
   domain: ask.domain,
   model: ask.model,
-  promptTokens: whole(ask.promptTokens),
-  outputTokens: whole(ask.outputTokens),
-  parts: ask.parts.map(({ id, tokens }) => ({ id, tokens: whole(tokens) })),
-  objectiveLeftMs: signedMs(ask.objectiveLeftMs),
-  deadlineLeftMs: signedMs(ask.deadlineLeftMs),
-  priority: whole(ask.priority),
+  promptTokens: toUint32(ask.promptTokens),
+  outputTokens: toUint32(ask.outputTokens),
+  parts: ask.parts.map(({ id, tokens }) => ({ id, tokens: toUint32(tokens) })),
+  objectiveLeftMs: toInt32(ask.objectiveLeftMs),
+  deadlineLeftMs: toInt32(ask.deadlineLeftMs),
+  priority: toUint32(ask.priority),
   isReturn: ask.isReturn,
   avoid: ask.avoid,
   unavailable: ask.unavailable,
-  answerLeftMs: whole(ask.answerLeftMs),
-  mostOutputTokens: whole(ask.mostOutputTokens),
+  answerLeftMs: toUint32(ask.answerLeftMs),
+  mostOutputTokens: toUint32(ask.mostOutputTokens),
 });
 
 export const fromPlaceAsk = (service: string, ask: PlaceAsk): PlacementAsk => ({
@@ -64,19 +65,19 @@
   id: event.id,
   kind: event.kind,
   ok: event.kind === "read" || event.kind === "ended" ? event.ok : true,
-  tookMs: event.kind === "ended" ? whole(event.firstEventMs) : 0,
+  tookMs: event.kind === "ended" ? toUint32(event.firstEventMs) : 0,
   engine: "engine" in event ? event.engine : "",
   stream: event.kind === "ended" ? toStreamResult(event.stream) : undefined,
 });
 
 const toStreamResult = (stream: StreamResult | undefined) =>
   stream && {
-    events: whole(stream.events),
-    tookMs: whole(stream.tookMs),
+    events: toUint32(stream.events),
+    tookMs: toUint32(stream.tookMs),
     isCut: stream.isCut,
   };
 
-/** Undefined for a kind that this version does not know. */
+/** Undefined for an event kind that this version does not know. */
 export const fromPlaceEvent = (
   event: PlaceEvent,
 ): PlacementEvent | undefined => {
@@ -92,15 +93,15 @@
   return undefined;
 };
 
-/** What a holder says of itself with each reply. */
+/** State of the lease holder, sent with each reply. */
 export interface HolderState {
   entries: number;
   isFresh: boolean;
-  /** Place of the standby that is told, among those that take over. */
+  /** Rank of the receiving standby in the takeover order. */
   standbyRank: number;
-  /** What it has learnt of reading; undefined where nothing is new. */
+  /** Measured read pace; undefined if unchanged. */
   readPace: ReadCost | undefined;
-  /** Its lease as it wrote it last; zeros where it has none. */
+  /** The lease as the holder last wrote it; zeros if it has none. */
   leaseEpoch: number;
   leaseBeat: number;
 }
@@ -117,10 +118,10 @@
     runner: isGrant ? answer.runner : "",
     reader: isGrant ? (answer.reader ?? "") : "",
     donor: isGrant ? (answer.donor ?? "") : "",
-    readMs: isGrant ? whole(answer.readMs) : 0,
-    waitedMs: isGrant ? whole(answer.waitedMs) : 0,
+    readMs: isGrant ? toUint32(answer.readMs) : 0,
+    waitedMs: isGrant ? toUint32(answer.waitedMs) : 0,
     refusal: isRefusal ? answer.why : "",
-    retryAfterMs: isRefusal ? whole(answer.retryAfterMs) : 0,
+    retryAfterMs: isRefusal ? toUint32(answer.retryAfterMs) : 0,
     isQueued: answer?.kind === "queued",
     config: undefined,
     rates: [],
@@ -129,7 +130,7 @@
   };
 };
 
-/** An empty text stands for none. */
+/** Maps an empty string to undefined. */
 export const emptyToUndefined = (text: string): string | undefined =>
   text === "" ? undefined : text;
 
--- a/src/placement/pendingPermitAsks.ts
+++ b/src/placement/pendingPermitAsks.ts
@@ -1,35 +1,38 @@
-/** Asks for permits that the holder has not answered yet. */
+/** Permit asks that the lease holder has not answered yet. */
 import type { PermitReply } from "../gen/snowgate.js";
 import type { PermitAnswer } from "../rateLimits/index.js";
 import { fromPermitReply } from "./rateMessages.js";
 
 /**
- * An ask without an answer by then is given up, ms: plain requests have some
- * hundred ms in all, and there are other replicas.
+ * Timeout of an ask, ms: plain requests have some hundred ms in all, and there
+ * are other replicas.
  */
-const ANSWER_MS = 40;
-const MOST_NUMBER = 2 ** 32 - 1;
+const ANSWER_TIMEOUT_MS = 40;
+const MAX_NUMBER = 2 ** 32 - 1;
 
-interface Open {
+interface Pending {
   resolve(answer: PermitAnswer | undefined): void;
   timer: NodeJS.Timeout;
 }
 
-/** An ask by its number, and what will be answered; undefined: nothing. */
+/** The number of an ask and its answer; undefined if there is none. */
 export interface PendingPermitAsk {
   number: number;
   answer: Promise<PermitAnswer | undefined>;
 }
 
 export class PendingPermitAsks {
-  private readonly asks = new Map<number, Open>();
+  private readonly asks = new Map<number, Pending>();
   private last = 0;
 
   open(): PendingPermitAsk {
-    this.last = (this.last % MOST_NUMBER) + 1;
+    this.last = (this.last % MAX_NUMBER) + 1;
     const number = this.last;
     const answer = new Promise<PermitAnswer | undefined>((resolve) => {
-      const timer = setTimeout(() => this.end(number, undefined), ANSWER_MS);
+      const timer = setTimeout(
+        () => this.end(number, undefined),
+        ANSWER_TIMEOUT_MS,
+      );
       this.asks.set(number, { resolve, timer });
     });
     return { number, answer };
@@ -39,7 +42,7 @@
     this.end(reply.number, fromPermitReply(reply));
   }
 
-  /** Nothing more is answered. */
+  /** Resolves all pending asks without an answer. */
   close(): void {
     for (const number of [...this.asks.keys()]) this.end(number, undefined);
   }
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -1,4 +1,4 @@
-/** One service's stream to the gateway that holds its lease. */
+/** Stream of one service to the gateway that holds its lease. */
 import { credentials } from "@grpc/grpc-js";
 import type { ClientDuplexStream } from "@grpc/grpc-js";
 
@@ -32,52 +32,55 @@
 import { KEEPALIVE_OPTIONS, CONCURRENT_STANDBYS } from "./placementServer.js";
 
 /**
- * An ask without an answer by then is placed here, ms. A holder that is busy
- * for a moment still places better than a guess, so this is about as long as
- * a request can wait and be in time.
+ * Timeout of an ask, ms; the request is then placed locally. A briefly busy
+ * holder still places better than an estimate, so this is about as long as a
+ * request can wait and still be in time.
  */
-const ANSWER_MS = 90;
+const ANSWER_TIMEOUT_MS = 90;
 /**
- * Events wait this long for an ask or other events to go with, ms: the ends
- * of reads, by which the holder gives out the next ones, …
+ * Events are batched with an ask or other events for this long, ms: read ends,
+ * after which the holder assigns the next reads, …
  */
-const READS_MS = 6;
-/** … and all others, which free room. */
-const EVENTS_MS = 30;
-/** A holder that has not accepted the stream by then is given up, ms. */
-const CONNECT_MS = 1000;
-/** A holder that has answered nothing for so long counts as lost, ms. */
-const LOST_MS = 400;
+const READ_EVENT_DELAY_MS = 6;
+/** … and all others, which free capacity. */
+const EVENT_DELAY_MS = 30;
+/** Timeout for the holder to accept the stream, ms. */
+const CONNECT_TIMEOUT_MS = 1000;
+/** A holder that has answered nothing for this long counts as lost, ms. */
+const HOLDER_TIMEOUT_MS = 400;
 
 /**
- * A standby that is told the holder's state each 300 ms counts it as lost
- * after a silence of so long, ms: two in a row may be late.
+ * A standby gets the holder's state every 300 ms and counts the holder as lost
+ * after this silence, ms: two states in a row may be late.
  */
-const BEATS_LOST_MS = 900;
+const STANDBY_TIMEOUT_MS = 900;
 
 interface Waiting {
   resolve(answer: PlacementAnswer | undefined): void;
   timer: NodeJS.Timeout;
   askedAt: number;
-  /** The holder has it, and answers when an engine comes free. */
+  /** The holder has queued the ask and answers when an engine is free. */
   isQueued: boolean;
 }
 
 export interface PlacementClientOptions {
   service: string;
   address: string;
-  /** It places nothing here, and only waits for the holder to be lost. */
+  /** A standby sends no asks and only waits for the holder to fail. */
   isStandby: boolean;
-  /** The holder reads what is sent from now on. */
+  /** The holder has accepted the stream and reads what is sent from now on. */
   onAccepted(): void;
-  /** The stream ended; the client is of no further use. */
+  /** The stream ended; the client can't be used any more. */
   onDisconnected(why: string): void;
   onState(state: HolderState): void;
-  /** The same and suspensions of the machine; proofs count from it. */
+  /**
+   * Like `now`, but includes machine suspensions; the age of configuration
+   * proofs counts from it.
+   */
   leaseNow: () => number;
-  /** The holder answered so to a question that was sent at `sentAt`. */
+  /** The holder's answer to a configuration request sent at `sentAt`. */
   onConfig(news: ConfigNews, sentAt: number): void;
-  /** What replicas have said to other processes of the rate they take. */
+  /** Rate limits that replicas have reported to other processes. */
   onRates(news: readonly RateNews[]): void;
   log: Log;
   now: () => number;
@@ -91,17 +94,17 @@
   private queuedCount = 0;
   private events: PlaceEvent[] = [];
   private eventTimer: NodeJS.Timeout | undefined;
-  /** Whether the events go out soon: one of them is the end of a read. */
+  /** Whether the pending events include a read end and are sent sooner. */
   private isUrgent = false;
-  /** When the first ask since the last answer was sent, ms. */
+  /** When the first ask since the last reply was sent, ms. */
   private silentSince: number | undefined;
-  /** The last question for the configuration, and when it was sent, ms. */
+  /** The last configuration request, and when it was sent, ms. */
   private configAsk = { number: 0, sentAt: 0 };
-  /** States that a standby was told. */
-  private beats = 0;
-  private beatTimer: NodeJS.Timeout | undefined;
+  /** Number of holder states that this standby has received. */
+  private statesReceived = 0;
+  private stateTimer: NodeJS.Timeout | undefined;
   private isLost = false;
-  /** The holder has accepted the stream. */
+  /** Whether the holder has accepted the stream. */
   private isReady = false;
   private readonly connectTimer: NodeJS.Timeout;
 
@@ -119,11 +122,11 @@
       options.onAccepted();
     });
     this.stream.on("data", (reply: PlaceReply) => this.onReply(reply));
-    this.stream.on("end", () => this.lose("the holder ended the stream"));
-    this.stream.on("error", (err) => this.lose(err.message));
-    const giveUp = () => this.lose("the holder can't be reached");
-    this.connectTimer = setTimeout(giveUp, CONNECT_MS);
-    // Makes this entry known before its first ask.
+    this.stream.on("end", () => this.disconnect("the holder ended the stream"));
+    this.stream.on("error", (err) => this.disconnect(err.message));
+    const giveUp = () => this.disconnect("the holder can't be reached");
+    this.connectTimer = setTimeout(giveUp, CONNECT_TIMEOUT_MS);
+    // Registers this entry with the holder before its first ask.
     this.send({});
   }
 
@@ -131,19 +134,20 @@
     return this.options.address;
   }
 
-  /** Asks that the holder has not taken up yet. */
+  /** Asks that the holder has neither answered nor queued yet. */
   get unacknowledgedCount(): number {
     return this.waiting.size - this.queuedCount;
   }
 
-  /** The holder's answer; undefined if it can't be had. */
+  /** The holder's answer; undefined if there is none. */
   ask(ask: PlacementAsk): Promise<PlacementAnswer | undefined> {
     if (this.isLost || !this.isReady) return Promise.resolve(undefined);
     return new Promise((resolve) => {
-      // After a stall of this process the answer may be there, unread: the
-      // timer comes before it, what it sets off comes after.
+      // After a stall of this process the answer may already be buffered.
+      // Timers run before I/O callbacks, and `setImmediate` after them, so the
+      // answer is read first.
       const giveUp = () => setImmediate(() => this.onUnanswered(ask.id));
-      const timer = setTimeout(giveUp, ANSWER_MS);
+      const timer = setTimeout(giveUp, ANSWER_TIMEOUT_MS);
       const askedAt = this.options.now();
       this.waiting.set(ask.id, { resolve, timer, askedAt, isQueued: false });
       this.silentSince ??= askedAt;
@@ -151,13 +155,13 @@
     });
   }
 
-  /** Takes an ask back; it is not answered any more. */
+  /** Cancels an ask; it is not answered any more. */
   cancel(id: string): void {
     if (this.take(id) === undefined) return;
     this.reportEvent({ kind: "ended", id, ok: true, firstEventMs: 0 });
   }
 
-  /** Told with the next ask, or soon. */
+  /** Queues an event to be sent with the next ask, or soon. */
   reportEvent(event: PlacementEvent): void {
     if (this.isLost) return;
     this.events.push(toPlaceEvent(event));
@@ -165,19 +169,19 @@
     if (this.eventTimer !== undefined && (this.isUrgent || !isUrgent)) return;
     clearTimeout(this.eventTimer);
     this.isUrgent = isUrgent;
-    const waitMs = isUrgent ? READS_MS : EVENTS_MS;
+    const waitMs = isUrgent ? READ_EVENT_DELAY_MS : EVENT_DELAY_MS;
     this.eventTimer = setTimeout(() => this.send({}), waitMs);
   }
 
-  /** Tells the holder of a grant that is in use already. */
+  /** Reports a grant that is already in use to the holder. */
   reportHeldGrant(ask: PlacementAsk, grant: Grant, isRead: boolean): void {
     const { reader = "", runner } = grant;
     this.send({ held: { ask: toPlaceAsk(ask), reader, runner, isRead } });
   }
 
   /**
-   * Asks for the newest configuration by one that holds revision `known`.
-   * What the answer proves counts from when the question was sent.
+   * Requests the newest configuration; `known` is the revision held here. The
+   * proof in the answer counts from when the request was sent.
    */
   requestConfig(known: number): void {
     if (this.isLost || !this.isReady) return;
@@ -186,7 +190,10 @@
     this.send({ configAsk: { number, known } });
   }
 
-  /** The holder's word on one send; undefined if it can't be had. */
+  /**
+   * Asks the holder for a permit for one request; undefined if there is no
+   * answer.
+   */
   requestPermit(replica: string): Promise<PermitAnswer | undefined> {
     if (this.isLost || !this.isReady) return Promise.resolve(undefined);
     const { number, answer } = this.permitAsks.open();
@@ -194,12 +201,12 @@
     return answer;
   }
 
-  /** Tells what replicas have come to say of the rate they take. */
+  /** Reports changed rate limits of replicas. */
   sendRates(news: readonly RateNews[]): void {
     if (news.length > 0) this.send({ rates: news.map(toRateNews) });
   }
 
-  /** Tells what this process has counted. */
+  /** Reports the usage counted by this process. */
   sendUsage(process: string, windows: readonly WindowCounts[]): void {
     if (this.isLost || windows.length === 0) return;
     const usage = windows.map((window) => toUsageWindow(process, window));
@@ -207,7 +214,7 @@
   }
 
   close(): void {
-    this.lose("closed");
+    this.disconnect("closed");
   }
 
   private send(call: Partial<PlaceCall>): void {
@@ -243,7 +250,7 @@
       readPace,
       ...lease,
     });
-    this.watchBeats(standbyRank);
+    this.watchHolderState(standbyRank);
     if (reply.config !== undefined) this.onConfig(reply.config);
     if (reply.rates.length > 0) {
       const told = reply.rates.map(fromRateNews);
@@ -256,12 +263,15 @@
       const sinceAskMs = this.options.now() - waiting.askedAt;
       return waiting.resolve(fromPlaceReply(reply, sinceAskMs));
     }
-    // Too late: the request was placed here, so the grant is given back.
+    // The answer came after the timeout and the request was placed locally, so
+    // the grant is returned.
     if (reply.runner === "") return;
     this.reportEvent({ kind: "ended", id, ok: true, firstEventMs: 0 });
   }
 
-  /** Answers to earlier questions than the last prove no more. */
+  /**
+   * Accepts only the answer to the last request; earlier ones prove no more.
+   */
   private onConfig(answer: ConfigAnswer): void {
     const { number, sentAt } = this.configAsk;
     if (answer.number !== number) return;
@@ -278,24 +288,28 @@
     }
   }
 
-  /** The first standbys hear from the holder all the time. */
-  private watchBeats(standbyRank: number): void {
-    clearTimeout(this.beatTimer);
+  /**
+   * Detects a lost holder by its silence; only the first standbys get its state
+   * at regular intervals.
+   */
+  private watchHolderState(standbyRank: number): void {
+    clearTimeout(this.stateTimer);
     if (!this.options.isStandby || standbyRank >= CONCURRENT_STANDBYS) return;
-    // After a pause of this process the next one may be there, unread.
-    const onSilence = () => setImmediate(() => this.loseAfter(heard));
-    this.beats += 1;
-    const heard = this.beats;
-    this.beatTimer = setTimeout(onSilence, BEATS_LOST_MS);
+    // After a stall of this process the next state may already be buffered.
+    const onSilence = () => setImmediate(() => this.disconnectIfSilent(heard));
+    this.statesReceived += 1;
+    const heard = this.statesReceived;
+    this.stateTimer = setTimeout(onSilence, STANDBY_TIMEOUT_MS);
   }
 
-  private loseAfter(heard: number): void {
-    if (this.beats === heard) this.lose("the holder says nothing");
+  private disconnectIfSilent(heard: number): void {
+    if (this.statesReceived === heard)
+      this.disconnect("the holder says nothing");
   }
 
   private onQueued(id: string): void {
     const waiting = this.waiting.get(id);
-    // Placed here meanwhile: it must not wait there any longer.
+    // Placed locally in the meantime: take it off the holder's queue.
     if (waiting === undefined)
       return this.reportEvent({ kind: "ended", id, ok: true, firstEventMs: 0 });
     clearTimeout(waiting.timer);
@@ -303,7 +317,7 @@
     this.queuedCount += 1;
   }
 
-  /** Ends the wait for an answer. */
+  /** Removes an ask from those that wait for an answer. */
   private take(id: string): Waiting | undefined {
     const waiting = this.waiting.get(id);
     if (waiting === undefined) return undefined;
@@ -319,15 +333,15 @@
     this.take(id)?.resolve(undefined);
     const { now } = this.options;
     const silentMs = now() - (this.silentSince ?? now());
-    if (silentMs >= LOST_MS) this.lose("asks are not answered");
+    if (silentMs >= HOLDER_TIMEOUT_MS) this.disconnect("asks are not answered");
   }
 
-  private lose(why: string): void {
+  private disconnect(why: string): void {
     if (this.isLost) return;
     this.isLost = true;
     clearTimeout(this.connectTimer);
     clearTimeout(this.eventTimer);
-    clearTimeout(this.beatTimer);
+    clearTimeout(this.stateTimer);
     for (const { resolve, timer } of this.waiting.values()) {
       clearTimeout(timer);
       resolve(undefined);
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -28,76 +28,76 @@
 import { fromRateNews, toPermitReply, toRateNews } from "./rateMessages.js";
 import type { ConfigNews, WindowCounts } from "../workspaces/index.js";
 
-/** Pings that find dead peers, ms; see `placementClient.ts`. */
+/** Keepalive pings that detect dead peers, ms; see `placementClient.ts`. */
 export const KEEPALIVE_OPTIONS = {
   "grpc.keepalive_time_ms": 1000,
   "grpc.keepalive_timeout_ms": 800,
-  // A stream is never retried: it would hold copies of all its messages.
+  // Retries are off: a retryable stream would keep copies of all its messages.
   "grpc.enable_retries": 0,
   "grpc.keepalive_permit_without_calls": 1,
   "grpc.http2.min_ping_interval_without_data_ms": 500,
 } as const;
 
 /**
- * Standbys that look for a lost lease at once; as many more follow after each
- * pause, so that a large fleet does not ask the store all at once.
+ * Standbys that try to take over a lost lease at once. As many more follow
+ * after each pause, so that a large fleet does not query the store all at once.
  */
 export const CONCURRENT_STANDBYS = 3;
 
-/** When a caller whose ask could not be judged may come back, ms. */
-const THREW_RETRY_MS = 1000;
-const THREW: PlacementAnswer = {
+/** Retry-after of an ask whose processing threw, ms. */
+const ERROR_RETRY_AFTER_MS = 1000;
+const ERROR_REFUSAL: PlacementAnswer = {
   kind: "refused",
   why: "no-engine",
-  retryAfterMs: THREW_RETRY_MS,
+  retryAfterMs: ERROR_RETRY_AFTER_MS,
 };
 
 type PlaceStream = ServerDuplexStream<PlaceCall, PlaceReply>;
 
-/** Standbys of one service, in the order in which they came. */
+/** Standbys of one service in order of connection, with the state last sent. */
 type Standbys = Map<PlaceStream, HolderState | undefined>;
 
 export interface PlacementServerOptions {
   placement: LocalPlacement;
-  /** Whether this process places requests of its own besides. */
+  /** Whether this process also places requests of its own. */
   isEntry: boolean;
   /** Whether this process holds the lease of a service. */
   isHolder(service: string): boolean;
-  /** Whether that lease was renewed lately. */
+  /** Whether that lease was renewed recently. */
   isFresh(service: string): boolean;
-  /** That lease as this process wrote it last. */
+  /** That lease's version as this process last wrote it. */
   leaseVersion(service: string): LeaseVersion | undefined;
-  /** The newest configuration, for one that holds revision `known`. */
+  /** The newest configuration for a process that holds revision `known`. */
   configUpdate(known: number): ConfigNews | undefined;
-  /** An engine has told another process that it leaves. */
+  /** An engine has announced to another process that it is leaving. */
   onEngineLeaving(engine: string): void;
-  /** What another process has counted. */
+  /** Usage counted by another process. */
   onUsage(process: string, window: WindowCounts): void;
-  /** The rates that replicas say they take, as far as they are limited. */
+  /** Rate limits of replicas that are in force. */
   rates(): RateNews[];
-  /** A replica has said to another process which rate it takes. */
+  /** A replica has reported its rate limit to another process. */
   onRate(news: RateNews): void;
-  /** Whether another process may send one request to that replica. */
+  /** Acquires a permit for another process to send one request to a replica. */
   acquirePermit(replica: string): PermitAnswer;
   log: Log;
 }
 
 export class PlacementServer {
   private readonly server = new Server(KEEPALIVE_OPTIONS);
-  /** Open streams, by service. */
+  /** Open streams of entries, by service. */
   private readonly streams = new Map<string, Set<PlaceStream>>();
-  /** Standbys and what they were told last, by service. */
+  /** Standbys and the state last sent to each, by service. */
   private readonly standbys = new Map<string, Standbys>();
   /**
-   * Ids of asks that wait for an engine or are at one, by stream. Nobody else
-   * reports on them: where an entry goes, its connections to engines go too,
-   * and what it had there must not count as work that is under way.
+   * Ids of asks that are queued or at an engine, by stream. Nobody else reports
+   * on them: when an entry disconnects, its connections to engines close too,
+   * and its requests must not count as running.
    */
   private readonly open = new Map<PlaceStream, Set<string>>();
-  /** What each stream was told of reading last. */
-  private readonly toldPace = new WeakMap<PlaceStream, ReadCost | undefined>();
-  /** What each stream was told of the rates of replicas. */
-  private readonly toldRates = new WeakMap<PlaceStream, RateNewsFilter>();
+  /** Read pace last sent to each stream. */
+  private readonly sentPace = new WeakMap<PlaceStream, ReadCost | undefined>();
+  /** Filter of rate limits already sent, by stream. */
+  private readonly rateFilters = new WeakMap<PlaceStream, RateNewsFilter>();
 
   constructor(private readonly options: PlacementServerOptions) {
     this.server.addService(SchedulingService, {
@@ -117,23 +117,23 @@
     });
   }
 
-  /** Entries that place through this process, itself included. */
+  /** Entries that place through this process, including itself. */
   entryCount(service: string): number {
     const others = this.streams.get(service)?.size ?? 0;
     return others + (this.options.isEntry ? 1 : 0);
   }
 
   /**
-   * Tells the first standbys that the holder lives, and the others what has
-   * changed. They ask for nothing, so that they would learn only from a lost
-   * connection, seconds later, that there is no holder any more.
+   * Sends the holder's state to the first standbys each time, and to the others
+   * when it has changed. Standbys send no asks, so otherwise they would notice
+   * a lost holder only seconds later, from the closed connection.
    */
   notifyStandbys(service: string): void {
     const standbys = this.standbys.get(service) ?? new Map();
     let standbyRank = 0;
     for (const [stream, told] of standbys) {
       const state = this.state(service, stream, standbyRank);
-      const rates = this.rateNews(stream);
+      const rates = this.rateUpdates(stream);
       const isNews =
         standbyRank < CONCURRENT_STANDBYS ||
         told?.isFresh !== state.isFresh ||
@@ -149,12 +149,12 @@
   }
 
   /**
-   * Tells entries which rates replicas take: one that has not heard it itself
-   * would send on, and use up room that others are held back for.
+   * Sends rate limits of replicas to entries: an entry that doesn't know a
+   * limit would keep sending and use capacity that others are held back for.
    */
   notifyEntriesOfRates(service: string): void {
     for (const stream of this.streams.get(service) ?? []) {
-      const rates = this.rateNews(stream);
+      const rates = this.rateUpdates(stream);
       if (rates.length === 0) continue;
       const state = this.state(service, stream, 0);
       stream.write({ ...toPlaceReply("", undefined, state), rates });
@@ -171,7 +171,7 @@
       if (!this.options.isHolder(call.service)) return void stream.end();
       if (service === undefined) {
         service = call.service;
-        // Tells the other side that its asks will be read.
+        // Tells the client that its asks will be read.
         stream.sendMetadata(new Metadata());
         this.register(service, stream, call.isStandby);
       }
@@ -199,8 +199,8 @@
   }
 
   /**
-   * A call that the decisions throw on is refused alone: it would else end
-   * the stream with the asks of all others, here and at the next holder.
+   * Handles errors per call: an error thrown here would end the stream with the
+   * asks of all other requests, here and at the next holder.
    */
   private take(stream: PlaceStream, call: PlaceCall): void {
     const { service, ask, held } = call;
@@ -213,7 +213,7 @@
       if (ask === undefined) return;
       this.open.get(stream)?.delete(ask.id);
       this.options.placement.cancel(service, ask.id);
-      this.reply(service, stream, ask.id, THREW);
+      this.reply(service, stream, ask.id, ERROR_REFUSAL);
     }
   }
 
@@ -259,7 +259,7 @@
     }
     if (held?.ask !== undefined) {
       const { reader, runner, isRead } = held;
-      this.noteOpen(stream, held.ask.id);
+      this.addOpenAsk(stream, held.ask.id);
       const grant: Grant = {
         kind: "granted",
         reader: emptyToUndefined(reader),
@@ -277,7 +277,7 @@
         if (later.kind === "refused") this.open.get(stream)?.delete(id);
         this.reply(service, stream, id, later);
       });
-      if (answer.kind !== "refused") this.noteOpen(stream, id);
+      if (answer.kind !== "refused") this.addOpenAsk(stream, id);
       this.reply(service, stream, id, answer);
     }
   }
@@ -292,7 +292,9 @@
     stream.write(toPlaceReply(id, answer, state));
   }
 
-  /** Nothing is told while nothing is proven. */
+  /**
+   * Sends the configuration; nothing is sent while its freshness is not proven.
+   */
   private tellConfig(
     service: string,
     stream: PlaceStream,
@@ -314,30 +316,35 @@
       entries: this.entryCount(service),
       isFresh: this.options.isFresh(service),
       standbyRank,
-      readPace: this.paceNews(service, stream),
+      readPace: this.paceUpdate(service, stream),
       leaseEpoch: epoch,
       leaseBeat: beat,
     };
   }
 
-  /** What that stream has not been told of the rates of replicas. */
-  private rateNews(stream: PlaceStream): PlaceReply["rates"] {
-    const known = this.toldRates.get(stream) ?? new RateNewsFilter();
-    this.toldRates.set(stream, known);
+  /** Rate limits that the stream has not been sent yet. */
+  private rateUpdates(stream: PlaceStream): PlaceReply["rates"] {
+    const known = this.rateFilters.get(stream) ?? new RateNewsFilter();
+    this.rateFilters.set(stream, known);
     return known.selectUpdates(this.options.rates()).map(toRateNews);
   }
 
-  private noteOpen(stream: PlaceStream, id: string): void {
+  private addOpenAsk(stream: PlaceStream, id: string): void {
     const known = this.open.get(stream) ?? new Set();
     known.add(id);
     this.open.set(stream, known);
   }
 
-  /** What was learnt of reading since that stream was told. */
-  private paceNews(service: string, stream: PlaceStream): ReadCost | undefined {
+  /**
+   * The measured read pace, if it has changed since it was sent to the stream.
+   */
+  private paceUpdate(
+    service: string,
+    stream: PlaceStream,
+  ): ReadCost | undefined {
     const { known } = this.options.placement.scheduler(service).pace;
-    if (known === this.toldPace.get(stream)) return undefined;
-    this.toldPace.set(stream, known);
+    if (known === this.sentPace.get(stream)) return undefined;
+    this.sentPace.set(stream, known);
     return known;
   }
 }
--- a/src/placement/rateMessages.ts
+++ b/src/placement/rateMessages.ts
@@ -1,15 +1,15 @@
-/** Rates of replicas and permits as messages between gateways, both ways. */
+/** Converts rate limits and permits to and from gateway messages. */
 import type {
   PermitReply,
   RateNews as RateNewsMessage,
 } from "../gen/snowgate.js";
 import type { PermitAnswer, RateNews } from "../rateLimits/index.js";
 
-const MOST_UINT32 = 2 ** 32 - 1;
+const MAX_UINT32 = 2 ** 32 - 1;
 
-/** Ms as a message holds them, rounded up: nobody asks too early. */
-const wholeMs = (ms: number): number =>
-  Math.min(MOST_UINT32, Math.max(0, Math.ceil(ms) || 0));
+/** Rounds up to uint32 ms, so that nobody asks too early. */
+const toUint32Ms = (ms: number): number =>
+  Math.min(MAX_UINT32, Math.max(0, Math.ceil(ms) || 0));
 
 export const toRateNews = ({
   replica,
@@ -18,10 +18,12 @@
 }: RateNews): RateNewsMessage => ({
   replica,
   perS,
-  endedAgoMs: endedAgoMs === undefined ? undefined : wholeMs(endedAgoMs),
+  endedAgoMs: endedAgoMs === undefined ? undefined : toUint32Ms(endedAgoMs),
 });
 
-/** Undefined where it names no rate: another version may mean more. */
+/**
+ * Undefined if it contains no valid rate: other versions may send other values.
+ */
 export const fromRateNews = ({
   replica,
   perS,
@@ -35,7 +37,7 @@
 ): PermitReply => ({
   number,
   isAcquired: answer.kind === "acquired",
-  waitMs: answer.kind === "held-back" ? wholeMs(answer.waitMs) : 0,
+  waitMs: answer.kind === "held-back" ? toUint32Ms(answer.waitMs) : 0,
 });
 
 export const fromPermitReply = ({
--- a/src/placement/ratePermits.ts
+++ b/src/placement/ratePermits.ts
@@ -1,7 +1,8 @@
 /**
- * Who spends the rate that a limited replica takes: the holder of its
- * service; for a plain service, which nobody places, the holder of the first
- * service that has one. All others ask it.
+ * Decides which process allocates the rate of a limited replica: the lease
+ * holder of its service or, for a plain service (whose requests are not
+ * placed), the holder of the first service that has one. All others ask it for
+ * permits.
  */
 import type {
   PermitAnswer,
@@ -12,22 +13,22 @@
 import type { HolderConnection } from "./holderConnection.js";
 
 /**
- * Entries assumed to share a rate while none was counted: too many leave some
- * of it unused for a moment, too few would break it.
+ * Entries assumed to share a rate while none have been counted. Too high leaves
+ * some of the rate unused for a moment; too low would exceed it.
  */
-const UNCOUNTED_ENTRIES = 64;
+const ASSUMED_ENTRIES = 64;
 /**
- * Part of the rate of a limited replica that is used by processes which can't
- * reach the one that spends it. Others may still reach it and use the whole;
- * the two together must stay below one and a half times the rate.
+ * Fraction of a replica's rate shared by the processes that can't reach its
+ * allocator. Others may still reach it and use the whole rate; the two together
+ * must stay below one and a half times the rate.
  */
-const UNLED_PART = 0.5;
+const UNCOORDINATED_FRACTION = 0.5;
 
 export interface RatePermitsOptions {
   rates: RateLimits;
-  /** By service. */
+  /** Connections to lease holders, by service. */
   connections: ReadonlyMap<string, HolderConnection>;
-  /** Entries that place through this process, itself included. */
+  /** Entries that place through this process, including itself. */
   connectedEntries(service: string): number;
   now: () => number;
 }
@@ -35,21 +36,27 @@
 export class RatePermits {
   constructor(private readonly options: RatePermitsOptions) {}
 
-  /** How much of what a replica of a service takes this process may use. */
+  /**
+   * The fraction of the rate of a service's replicas that this process may use.
+   */
   share(service: string): PermitShare {
     const connection = this.connectionFor(service);
-    const entries = connection?.entryCount ?? UNCOUNTED_ENTRIES;
+    const entries = connection?.entryCount ?? ASSUMED_ENTRIES;
     const isAllocator = connection?.keeper.isHolder ?? false;
     if (connection === undefined || !isAllocator) {
-      return { fraction: UNLED_PART / entries, isAllocator };
+      return { fraction: UNCOORDINATED_FRACTION / entries, isAllocator };
     }
     if (connection.keeper.isFresh) return { fraction: 1, isAllocator };
-    // Others may have found another holder: only those that are left count.
+    // Others may have found another holder: count only the entries still
+    // connected here.
     const here = this.options.connectedEntries(connection.service);
     return { fraction: Math.min(1, here / entries), isAllocator };
   }
 
-  /** Whether one request may go to a replica on which nobody places. */
+  /**
+   * Acquires a permit to send one request to a replica of a plain service, from
+   * the allocator or else locally.
+   */
   async acquire(service: string, replica: string): Promise<PermitAnswer> {
     const { client } = this.connectionFor(service) ?? {};
     return (
@@ -57,19 +64,19 @@
     );
   }
 
-  /** The same by what this process may use. */
+  /** Acquires a permit from this process's own share. */
   acquireLocally(replica: string): PermitAnswer {
     const { rates, now } = this.options;
     if (rates.acquire(replica, now())) return { kind: "acquired" };
     return { kind: "held-back", waitMs: rates.waitMs(replica, now()) };
   }
 
-  /** Tells whoever spends the rate of a service's replicas. */
+  /** Reports a rate limit to the allocator of the service's replicas. */
   reportRate(service: string, news: RateNews): void {
     this.connectionFor(service)?.client?.sendRates([news]);
   }
 
-  /** Other processes have heard this. */
+  /** Applies rate limits received from other processes. */
   applyUpdates(news: readonly RateNews[]): void {
     const { rates, now } = this.options;
     for (const item of news) rates.applyUpdate(item, now());
--- a/src/placement/sharedPlacement.ts
+++ b/src/placement/sharedPlacement.ts
@@ -1,7 +1,7 @@
 /**
- * Placement by the gateway that holds a service's lease, and by this process
- * while that one can't be reached. The own scheduler hears of every grant,
- * so that it knows at least what this process has at the engines.
+ * Places requests through the gateway that holds a service's lease, and locally
+ * while that one can't be reached. The local scheduler records every grant, so
+ * that it knows at least this process's own load on the engines.
  */
 import type {
   Grant,
@@ -24,25 +24,25 @@
 import type { Placement } from "./types.js";
 import type { ConfigNews, WindowCounts } from "../workspaces/index.js";
 
-/** Entries assumed to share the engines while none was counted. */
-const UNKNOWN_ENTRIES = 4;
+/** Entries assumed to share the engines while none have been counted. */
+const ASSUMED_ENTRIES = 4;
 /**
- * Part of the entries that an entry which places alone counts as busy as
- * itself. Callers are not spread evenly, and an engine that is full refuses
- * by itself.
+ * Fraction of the entries that an entry placing without the holder assumes to
+ * be as busy as itself. Callers are not spread evenly, and a full engine
+ * refuses by itself.
  */
-const GUESSED_PART = 0.5;
-/** Pause between two such groups, ms: as long as a takeover takes. */
-const STANDBY_PAUSE_MS = 2000;
+const BUSY_FRACTION = 0.5;
+/** Delay between groups of standbys, ms: as long as a takeover takes. */
+const STANDBY_GROUP_DELAY_MS = 2000;
 
 /**
- * How long a process of one core leaves the first lease of a service to
- * others, ms; one of half a core leaves it twice as long. Processes start
- * within half a second of each other, and the strongest must be the holder: one
- * of half a core answers a large fleet too late.
+ * How long a process with one core leaves the first lease of a service to
+ * others, ms; with half a core it waits twice as long. Processes start within
+ * half a second of each other, and the one with the most capacity must become
+ * the holder: one with half a core answers a large fleet too late.
  */
 const FIRST_ACQUIRE_DELAY_MS = 1500;
-/** No process leaves it for longer, ms. */
+/** Upper bound of that delay, ms. */
 const MAX_FIRST_ACQUIRE_DELAY_MS = 4000;
 
 const firstAcquireDelayMs = (capacity: number): number =>
@@ -54,39 +54,39 @@
   feed: ObjectFeed;
   /** Name of this process. */
   self: string;
-  /** Where it places for others; known once it listens. */
+  /** Address at which it places for others; known once it listens. */
   address(): string;
   leaseMs: number;
   /** How long it leaves a free lease to others, ms. */
   acquireDelayMs: number;
-  /** Processor time that it has for placing, in cores. */
+  /** Processor time available for placing, in cores. */
   capacity: number;
-  /** Whether this process places nothing of its own. */
+  /** Whether this process places no requests of its own. */
   isStandby: boolean;
-  /** Entries that place through this process, itself included. */
+  /** Entries that place through this process, including itself. */
   connectedEntries(service: string): number;
-  /** Another process reads what is sent to it as the holder. */
+  /** Another process holds the lease and has accepted the connection. */
   onHolderConnected(service: string): void;
-  /** The holder answered so to a question that was sent at `sentAt`. */
+  /** The holder's answer to a configuration request sent at `sentAt`. */
   onConfig(news: ConfigNews, sentAt: number): void;
   log: Log;
   now: () => number;
-  /** Counts suspensions of the machine besides. */
+  /** Like `now`, but includes machine suspensions. */
   leaseNow: () => number;
 }
 
 interface InUse {
   ask: PlacementAsk;
   grant: Grant;
-  /** An engine has read its prompt. */
+  /** Whether an engine has read its prompt. */
   isRead: boolean;
 }
 
 export class SharedPlacement implements Placement {
   private readonly connections = new Map<string, HolderConnection>();
   private readonly inUse = new Map<string, InUse>();
-  private readonly askLimit = new RefusalCache();
-  /** Of the rates that replicas take. */
+  private readonly refusalCache = new RefusalCache();
+  /** Permits for the rate limits of replicas. */
   readonly permits: RatePermits;
 
   constructor(private readonly options: SharedPlacementOptions) {
@@ -100,12 +100,12 @@
     const { local, now } = this.options;
     const client = this.connections.get(ask.service)?.client;
     const waiting = client?.unacknowledgedCount ?? 0;
-    const refusal = this.askLimit.recentRefusal(ask.route, waiting, now());
-    // A request that has been at an engine goes on being placed.
+    const refusal = this.refusalCache.recentRefusal(ask.route, waiting, now());
+    // A request that has already been at an engine is still placed.
     if (refusal !== undefined && ask.avoid.length === 0) return refusal;
     const answer = await client?.ask(ask);
     if (answer !== undefined) {
-      this.askLimit.record(ask.route, answer, now());
+      this.refusalCache.record(ask.route, answer, now());
       if (answer.kind === "granted") local.adopt(ask, answer);
       return this.used(ask, answer);
     }
@@ -127,7 +127,7 @@
     this.connections.get(service)?.client?.reportEvent(event);
   }
 
-  /** What a new holder will have to know of the request. */
+  /** Tracks what a new holder has to be told about the request. */
   private follow(event: PlacementEvent): void {
     if (event.kind === "ended") this.inUse.delete(event.id);
     const isRead = event.kind === "read" || event.kind === "begun";
@@ -136,14 +136,17 @@
     if (item !== undefined) item.isRead = true;
   }
 
-  /** How many processes place on a service's engines without talking. */
+  /**
+   * Number of processes that place on a service's engines without coordination.
+   */
   sharingProcesses(service: string): number {
     const connection = this.connections.get(service);
-    if (connection === undefined) return UNKNOWN_ENTRIES;
-    const entries = connection.entryCount ?? UNKNOWN_ENTRIES;
-    const guess = Math.max(1, entries * GUESSED_PART);
+    if (connection === undefined) return ASSUMED_ENTRIES;
+    const entries = connection.entryCount ?? ASSUMED_ENTRIES;
+    const guess = Math.max(1, entries * BUSY_FRACTION);
     if (!connection.keeper.isHolder) return guess;
-    // Cut off from the store, others may have found another holder.
+    // If this process can't reach the store, others may have found another
+    // holder.
     const isAlone = this.options.connectedEntries(service) <= 1;
     return isAlone && !connection.keeper.isFresh ? guess : 1;
   }
@@ -156,23 +159,26 @@
     return this.connections.get(service)?.keeper.isFresh ?? false;
   }
 
-  /** Epoch of the lease, as a fencing number of orders. */
+  /** Epoch of the lease, used as the fencing number of orders. */
   epoch(service: string): number {
     return this.connections.get(service)?.keeper.epoch ?? 0;
   }
 
-  /** The lease as this process wrote it last, if it holds it. */
+  /** The lease version as this process last wrote it, if it is the holder. */
   leaseVersion(service: string): LeaseVersion | undefined {
     return this.connections.get(service)?.keeper.version;
   }
 
-  /** Asks the holders for the configuration by one that holds `known`. */
+  /**
+   * Requests the newest configuration from all holders; `known` is the revision
+   * held here.
+   */
   requestConfig(known: number): void {
     for (const { client } of this.connections.values())
       client?.requestConfig(known);
   }
 
-  /** Tells the holder of a service what this process has counted. */
+  /** Reports the usage counted by this process to the holder of a service. */
   sendUsage(
     service: string,
     process: string,
@@ -181,12 +187,12 @@
     this.connections.get(service)?.client?.sendUsage(process, windows);
   }
 
-  /** Most entries that place on the engines of any of these services. */
+  /** Highest entry count of any of these services. */
   maxEntryCount(services: readonly string[]): number {
-    return this.countedMaxEntries(services) ?? UNKNOWN_ENTRIES;
+    return this.countedMaxEntries(services) ?? ASSUMED_ENTRIES;
   }
 
-  /** The same; undefined while no holder has counted them. */
+  /** The same; undefined while no holder has reported a count. */
   countedMaxEntries(services: readonly string[]): number | undefined {
     const counts = services.flatMap(
       (service) => this.connections.get(service)?.entryCount ?? [],
@@ -194,7 +200,7 @@
     return counts.length === 0 ? undefined : Math.max(1, ...counts);
   }
 
-  /** Keeps or seeks the lease of each service that has engines. */
+  /** Acquires or renews the lease of each service that has engines. */
   async step(services: readonly string[]): Promise<void> {
     await Promise.all(services.map((service) => this.stepOne(service)));
   }
@@ -217,7 +223,7 @@
       this.connect(service, connection, otherHolderAddress);
   }
 
-  /** Whether the lease in the store has to be looked at. */
+  /** Whether the lease in the store has to be read. */
   private mustLook(connection: HolderConnection): boolean {
     if (connection.client !== undefined && connection.isFresh) {
       connection.noFreshHolderSince = undefined;
@@ -276,7 +282,7 @@
         connection.recordEntryCount(entries, this.options.now());
         connection.isFresh = isFresh;
         const group = Math.floor(standbyRank / CONCURRENT_STANDBYS);
-        connection.searchDelayMs = group * STANDBY_PAUSE_MS;
+        connection.searchDelayMs = group * STANDBY_GROUP_DELAY_MS;
       },
       onAccepted: () => {
         connection.isFresh = true;
@@ -292,7 +298,8 @@
       },
     });
     connection.client = client;
-    // Until it accepts, the lease has to be looked at: it may be gone.
+    // Until the holder accepts, the lease has to be read: the holder may be
+    // gone.
     connection.isFresh = false;
     for (const { ask, grant, isRead } of this.inUse.values()) {
       if (ask.service === service) client.reportHeldGrant(ask, grant, isRead);
@@ -300,7 +307,7 @@
     client.sendRates(this.options.rates.activeLimits(this.options.now()));
   }
 
-  /** What another process has learnt of the engines' pace. */
+  /** Restores the engines' pace as measured by another process. */
   private restorePace(service: string, cost: ReadCost): void {
     this.options.local.scheduler(service).pace.restore(cost);
   }
--- a/src/placement/takeoverGuard.ts
+++ b/src/placement/takeoverGuard.ts
@@ -1,17 +1,17 @@
 /**
- * When a holder may act with its lease's epoch as a fence: while the lease
- * was renewed lately, and not before the holder before it can have acted
- * last. Guards against two holders that act in turns.
+ * Decides when a lease holder may act with its epoch as a fencing number: while
+ * its lease is fresh, and not before the previous holder can have acted for the
+ * last time. Guards against two holders acting in turns.
  */
 
-/** Beyond the time that actions of two holders must lie apart, ms. */
+/** Margin added to the minimum time between actions of two holders, ms. */
 const TAKEOVER_MARGIN_MS = 500;
 
-/** The lease, as far as actions need it. */
+/** The lease state that actions depend on. */
 export interface HolderAuthority {
-  /** Whether it was renewed lately. */
+  /** Whether the lease was renewed recently. */
   isFresh(service: string): boolean;
-  /** Grows with each holder. */
+  /** Incremented with each new holder. */
   epoch(service: string): number;
 }
 
@@ -22,11 +22,11 @@
   constructor(
     private readonly authority: HolderAuthority,
     private readonly service: string,
-    /** Time that actions of two holders must lie apart, ms. */
+    /** Minimum time between actions of two holders, ms. */
     private readonly leaseMs: number,
   ) {}
 
-  /** The fence to act with now; undefined: it must not act. */
+  /** The fencing number to act with now; undefined if it must not act. */
   fencingEpoch(now: number): number | undefined {
     const { service, authority, leaseMs } = this;
     const epoch = authority.epoch(service);
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -1,4 +1,4 @@
-/** Port to whoever places model requests: this process or another. */
+/** Interface to whatever places model requests: this process or another. */
 import type {
   PlacementAnswer,
   PlacementAsk,
@@ -7,8 +7,8 @@
 
 export interface Placement {
   place(ask: PlacementAsk): Promise<PlacementAnswer>;
-  /** Gives an ask up: no answer follows, and a grant of it ends. */
+  /** Cancels an ask: no answer follows, and a grant of it ends. */
   cancel(service: string, id: string): void;
-  /** Tells what became of a request; `service` is that of its ask. */
+  /** Reports an event of a request; `service` is that of its ask. */
   reportEvent(service: string, event: PlacementEvent): void;
 }
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,8 +1,8 @@
 /**
- * Bars requests that end each replica that runs them. Pure. Budgets of
- * retries bound the sum over all requests, and attempts one try of a caller:
- * neither holds one request that comes again and again, at any entry. Here
- * the ends of replicas are counted for each request over the whole fleet.
+ * Quarantines requests that crash each replica that runs them. Pure. Retry
+ * budgets limit the sum over all requests, and the attempt limit one call:
+ * neither stops a single request that is sent again and again, at any entry.
+ * Here replica ends are counted per request over the whole fleet.
  */
 import { SuspectTable } from "./suspectTable.js";
 import { sizePrefix, sizePrefixOf } from "./requestDigest.js";
@@ -13,35 +13,39 @@
 } from "./types.js";
 
 /**
- * Lives of replicas that may end under a request before it is barred. With
- * fewer, one that was twice beside the cause would be barred; each more is a
- * replica lost.
+ * Replica lives that end under a request before it is barred. With fewer, a
+ * request that happened to run beside the cause twice would be barred; each
+ * more costs a replica.
  */
 export const REPLICA_ENDS_TO_BAR = 3;
 /**
- * Sends of a barred request to replicas, for good, over the whole fleet:
- * trials tell a popular request that was beside three causes from the cause.
+ * Total sends of a barred request to replicas in trials, over the whole fleet.
+ * Trials tell the cause from a popular request that ran beside three causes.
  */
 export const MAX_TRIAL_SENDS = 3;
 /**
- * How long after a bar a trial may begin, ms: a popular request is
- * barred by chance where many replicas end at once, and the trial must not
- * fall among the same ends.
+ * Delay between barring and the first trial, ms: a popular request is barred by
+ * chance when many replicas end at once, and the trial must not coincide with
+ * those ends.
  */
 export const TRIAL_DELAY_MS = 1000;
 /**
- * Bars that are kept; the oldest goes first, cleared ones before others. By
- * the bars' own fields, so that all processes keep the same.
+ * Maximum number of records; the oldest is dropped first, cleared ones before
+ * others. Age is taken from the records' own fields, so that all processes keep
+ * the same ones.
  */
 export const MAX_RECORDS = 64;
-/** Lives that are excused of one request; older records name no more. */
-const MAX_EXCUSED = 24;
+/**
+ * Maximum replica lives excluded from the count of one request; older records
+ * name no more.
+ */
+const MAX_EXCLUDED_LIVES = 24;
 
 const FREE: QuarantineVerdict = { kind: "free" };
 
-interface KnownBar {
+interface KnownRecord {
   bar: QuarantineRecord;
-  /** When this process learnt of this step, ms. */
+  /** When this process learned of this step, ms. */
   since: number;
 }
 
@@ -49,9 +53,9 @@
   left.at - right.at || left.digest.localeCompare(right.digest);
 
 export class Quarantine {
-  private readonly ledger: SuspectTable;
-  private readonly bars = new Map<string, KnownBar>();
-  /** Sizes of the requests that are known; undefined: to be made anew. */
+  private readonly suspects: SuspectTable;
+  private readonly bars = new Map<string, KnownRecord>();
+  /** Body sizes of tracked requests; undefined: must be rebuilt. */
   private sizes: Set<string> | undefined;
 
   constructor(
@@ -60,68 +64,75 @@
     private readonly now: () => number,
     private readonly wallNow: () => number,
   ) {
-    this.ledger = new SuspectTable(now);
+    this.suspects = new SuspectTable(now);
   }
 
   /**
-   * Whether a request with such a body can be a known one. Spares nearly all
-   * requests their digest.
+   * Whether a request with a body of this size can be a tracked one. Avoids
+   * computing the digest of nearly all requests.
    */
   mayBeTracked(bodyBytes: number): boolean {
-    if (this.bars.size === 0 && this.ledger.size === 0) return false;
+    if (this.bars.size === 0 && this.suspects.size === 0) return false;
     this.sizes ??= new Set(
-      [...this.bars.keys(), ...this.ledger.digests()].map(sizePrefixOf),
+      [...this.bars.keys(), ...this.suspects.digests()].map(sizePrefixOf),
     );
     return this.sizes.has(sizePrefix(bodyBytes));
   }
 
-  /** A replica's life ended while these requests were there. */
+  /** Records that a replica's life ended while these requests were on it. */
   recordReplicaEnd(digests: readonly string[], life: string): void {
-    this.ledger.add(digests, life);
+    this.suspects.add(digests, life);
     this.sizes = undefined;
     for (const digest of digests) {
       this.endTrials(digest);
-      this.judge(digest, this.ledger.lives(digest));
+      this.barIfThresholdReached(digest, this.suspects.lives(digest));
     }
   }
 
   /**
-   * A run of it ended and left its replica alive. Whether that is news.
-   * A barred one is cleared by its trial only: this run began before.
+   * Records that a run ended and left its replica alive; returns whether this
+   * changed anything. A barred request is cleared only by its trial, since this
+   * run began before it was barred.
    */
   recordSurvival(digest: string): boolean {
     if (this.activeRecord(digest) !== undefined) return false;
-    return this.ledger.clear(digest);
+    return this.suspects.clear(digest);
   }
 
-  /** `trialSends`: how many sends to replicas a trial of it may take. */
+  /**
+   * Whether a request may run. `trialSends`: maximum sends to replicas that a
+   * trial of it may take.
+   */
   verdict(digest: string, trialSends: number): QuarantineVerdict {
     const known = this.bars.get(digest);
     if (known === undefined || known.bar.state === "cleared") return FREE;
     const { bar, since } = known;
-    const isResting = this.now() - since < TRIAL_DELAY_MS;
+    const isDelayed = this.now() - since < TRIAL_DELAY_MS;
     const hasSends = bar.sends + trialSends <= MAX_TRIAL_SENDS;
-    const mayTry = bar.state === "barred" && hasSends && !isResting;
+    const mayTry = bar.state === "barred" && hasSends && !isDelayed;
     return { kind: mayTry ? "may-try" : "refused", record: bar };
   }
 
-  /** The bar of a request that may not run. */
+  /** The record of a request that must not run. */
   activeRecord(digest: string): QuarantineRecord | undefined {
     const bar = this.bars.get(digest)?.bar;
     return bar?.state === "cleared" ? undefined : bar;
   }
 
-  /** What this process has seen, for the others. */
+  /** What this process has seen, for the other processes. */
   toRecord(): EndRecord {
-    return this.ledger.toRecord();
+    return this.suspects.toRecord();
   }
 
   restore(record: EndRecord): void {
-    this.ledger.restore(record);
+    this.suspects.restore(record);
     this.sizes = undefined;
   }
 
-  /** What all processes have seen: an end at each of three entries is three. */
+  /**
+   * Applies the records of all processes: one end at each of three entries
+   * counts as three.
+   */
   applyEndRecords(records: readonly EndRecord[]): void {
     const all = new Map<string, Set<string>>();
     for (const record of records) {
@@ -131,10 +142,11 @@
         all.set(digest, known);
       }
     }
-    for (const [digest, lives] of all) this.judge(digest, lives);
+    for (const [digest, lives] of all)
+      this.barIfThresholdReached(digest, lives);
   }
 
-  /** Steps that others took, or this process; those that are news. */
+  /** Applies steps taken by any process; returns those that were new. */
   applyRecords(bars: readonly QuarantineRecord[]): QuarantineRecord[] {
     const news = bars.filter((bar) => this.isLater(bar));
     for (const bar of news) this.set(bar);
@@ -145,12 +157,15 @@
     return [...this.bars.values()].map(({ bar }) => bar);
   }
 
-  /** A trial takes up to `sends` sends; the store has to agree first. */
+  /**
+   * The record of a trial that may take up to `sends` sends; the store must
+   * accept it first.
+   */
   startTrial(bar: QuarantineRecord, sends: number): QuarantineRecord {
     return this.nextStep({ ...bar, sends: bar.sends + sends }, "on-trial");
   }
 
-  /** A trial that was given `reserved` sends is over; its next step. */
+  /** The next record after a trial that had reserved `reserved` sends. */
   finishTrial(
     trial: QuarantineRecord,
     reserved: number,
@@ -158,7 +173,7 @@
   ): QuarantineRecord {
     const known = this.activeRecord(trial.digest) ?? trial;
     if (hasSurvived) return this.nextStep(known, "cleared");
-    // Its replica's end was found out first.
+    // The end of its replica was recorded first.
     if (known.step > trial.step) return known;
     const used = { ...trial, sends: trial.sends - reserved + sends };
     return this.nextStep(used, "barred");
@@ -177,21 +192,25 @@
     };
   }
 
-  private judge(digest: string, lives: ReadonlySet<string>): void {
+  private barIfThresholdReached(
+    digest: string,
+    lives: ReadonlySet<string>,
+  ): void {
     const known = this.bars.get(digest)?.bar;
     if (known !== undefined && known.state !== "cleared") return;
-    const excused = new Set(known?.lives ?? []);
-    const counted = [...lives].filter((life) => !excused.has(life));
+    const excluded = new Set(known?.lives ?? []);
+    const counted = [...lives].filter((life) => !excluded.has(life));
     if (counted.length < REPLICA_ENDS_TO_BAR) return;
     const step = known?.step ?? 0;
-    const named = [...excused, ...counted].slice(-MAX_EXCUSED);
+    const named = [...excluded, ...counted].slice(-MAX_EXCLUDED_LIVES);
     const bar = { digest, step, lives: named, sends: 0, by: "", at: 0 };
     this.set(this.nextStep({ ...bar, state: "barred" }, "barred"));
   }
 
   /**
-   * A replica ended under a trial that this process ran: there is no doubt
-   * left. Ends under runs from before the bar are no news.
+   * Ends further trials: a replica ended under a trial run by this process, so
+   * the request is the cause. Ends under runs from before it was barred don't
+   * count.
    */
   private endTrials(digest: string): void {
     const bar = this.activeRecord(digest);
@@ -210,8 +229,8 @@
     this.sizes = undefined;
     this.bars.delete(bar.digest);
     this.bars.set(bar.digest, { bar, since: this.now() });
-    // What was seen of a cleared request speaks no more against it.
-    if (bar.state === "cleared") this.ledger.clear(bar.digest);
+    // Ends seen before a request was cleared no longer count against it.
+    if (bar.state === "cleared") this.suspects.clear(bar.digest);
     if (this.bars.size > MAX_RECORDS) this.dropOldest();
   }
 
--- a/src/quarantine/requestDigest.ts
+++ b/src/quarantine/requestDigest.ts
@@ -1,11 +1,11 @@
 /**
- * Tells whether two requests are the same one sent again: same host, path,
- * caller and body. Only the digest is kept, logged or stored. It begins with
- * the size of the body, so that most requests are told apart by that alone.
+ * Digest that identifies a request sent again: same host, path, workspace and
+ * body. Only the digest is stored or logged. It starts with the body size, by
+ * which most requests can be told apart without hashing.
  */
 import { createHash } from "node:crypto";
 
-/** 16 of the 32 bytes: no two requests meet, and a record stays short. */
+/** 16 of the 32 bytes: enough to avoid collisions, and keeps records short. */
 const DIGEST_CHARS = 22;
 const SIZE_RADIX = 36;
 const SEPARATOR = ".";
@@ -14,22 +14,23 @@
   host: string;
   /** Path and query. */
   target: string;
-  /** Name of the workspace that it runs for; empty where there is none. */
+  /**
+   * Name of the workspace that the request runs for; empty if there is none.
+   */
   workspace: string;
   body: Buffer;
 }
 
-/** What digests of requests with a body of so many bytes begin with. */
+/** Prefix of the digests of requests with a body of this size. */
 export const sizePrefix = (bytes: number): string => bytes.toString(SIZE_RADIX);
 
 export const sizePrefixOf = (digest: string): string =>
   digest.slice(0, digest.indexOf(SEPARATOR));
 
 /**
- * Cryptographic, so that no caller can make a request that passes for
- * another's. It takes 4 µs of a core, and 89 µs where the body has 64 KB
- * (mean of 5,000 calls in a row); only requests that might be known are
- * asked for it.
+ * Cryptographic, so that no caller can craft a request that passes for
+ * another's. Takes 4 µs of a core, and 89 µs for a body of 64 KB (mean of 5,000
+ * calls in a row); computed only for requests that might be tracked.
  */
 export const requestDigest = (request: RequestIdentity): string => {
   const { host, target, workspace, body } = request;
--- a/src/quarantine/suspectTable.ts
+++ b/src/quarantine/suspectTable.ts
@@ -1,32 +1,34 @@
 /**
- * Which requests were at replicas that ended, as one process has seen it.
- * Pure. Most were there by chance: a run that ends and leaves its replica
- * alive clears its request.
+ * Requests that were running on replicas when these ended, as seen by one
+ * process. Pure. Most were there by chance: a run that ends and leaves its
+ * replica alive clears its request.
  */
 import type { EndRecord } from "./types.js";
 
 /**
- * Requests that are remembered at the most: what runs on five replicas of
- * 96 slots. Kept small, since each process's record is read by all.
+ * Maximum number of requests remembered: what runs on five replicas of 96
+ * slots. Kept small, since every process reads each process's record.
  */
 export const MAX_SUSPECTS = 512;
 /**
- * How long a request is remembered after the last end under it, ms. A caller
- * comes back within minutes; a bar, once set, has no end. Records of crashes
- * long ago would make each list of a large fleet's records longer.
+ * How long a request is remembered after the last replica end, ms. Callers
+ * retry within minutes; a quarantine, once set, does not expire. Records of old
+ * crashes would lengthen each list of a large fleet's records.
  */
 export const SUSPECT_RETENTION_MS = 600_000;
-/** Lives that are named of one request; more decide nothing. */
+/**
+ * Maximum replica lives recorded per request; more do not affect the decision.
+ */
 const MAX_LIVES = 6;
 
 interface Suspect {
   lives: Set<string>;
-  /** Of the last end, ms. */
+  /** Time of the last end, ms. */
   at: number;
 }
 
 export class SuspectTable {
-  /** In order of the last end, the oldest first. */
+  /** Ordered by the last end, oldest first. */
   private readonly suspects = new Map<string, Suspect>();
 
   constructor(private readonly now: () => number) {}
@@ -35,7 +37,7 @@
     return this.suspects.size;
   }
 
-  /** A replica's life ended while these requests were there. */
+  /** Records that a replica's life ended while these requests were on it. */
   add(digests: readonly string[], life: string): void {
     const at = this.now();
     this.dropOld(at);
@@ -48,7 +50,7 @@
     while (this.suspects.size > MAX_SUSPECTS) this.dropWeakest();
   }
 
-  /** Whether anything was known of it. */
+  /** Forgets a request; returns whether it was known. */
   clear(digest: string): boolean {
     return this.suspects.delete(digest);
   }
@@ -69,7 +71,7 @@
     return Object.fromEntries(rows) as EndRecord;
   }
 
-  /** What this process wrote in an earlier life. */
+  /** Restores what this process wrote in an earlier run. */
   restore(record: EndRecord): void {
     for (const [digest, lives] of Object.entries(record)) {
       for (const life of lives) this.add([digest], life);
@@ -84,8 +86,8 @@
   }
 
   /**
-   * Of those with the least evidence the oldest goes: requests that are new
-   * each time push out none that came again.
+   * Drops the oldest of the requests with the fewest ends, so that requests
+   * seen once never push out one that was seen again.
    */
   private dropWeakest(): void {
     let weakest: { digest: string; count: number } | undefined;
--- a/src/quarantine/types.ts
+++ b/src/quarantine/types.ts
@@ -1,35 +1,43 @@
-/** What is known of requests that end the replicas that run them. */
+/**
+ * Types for the quarantine of requests that crash the replicas running them.
+ */
 
-/** What one process has seen: by digest of a request, lives that ended. */
+/** Replica lives seen to end by one process, by request digest. */
 export type EndRecord = Record<string, string[]>;
 
 export const QUARANTINE_STATES = ["barred", "on-trial", "cleared"] as const;
 
 /**
- * - `barred`: it runs nowhere, but for a trial while sends are left for one.
- * - `on-trial`: one process may run it once; no other does until that one
- *   has said what came of it.
- * - `cleared`: a trial ended well; the ends counted so far were not its own.
+ * - `barred`: does not run, except in a trial while trial sends are left.
+ * - `on-trial`: one process may run it once; no other does until that process
+ *   has recorded the outcome.
+ * - `cleared`: a trial succeeded; the ends counted so far had another cause.
  */
 export type QuarantineState = (typeof QUARANTINE_STATES)[number];
 
-/** The fleet's judgement of one request; a later step replaces a former. */
+/**
+ * The fleet's decision on one request; a later step replaces an earlier one.
+ */
 export interface QuarantineRecord {
   digest: string;
   state: QuarantineState;
   step: number;
-  /** Lives of replicas that ended under it. */
+  /** Replica lives that ended under it. */
   lives: string[];
-  /** Sends to replicas that trials have used up, or may have. */
+  /** Sends to replicas that trials have used, or may have used. */
   sends: number;
-  /** Process that took the step, and when, ms since 1970: for people only. */
+  /**
+   * Process that took the step and when, ms since 1970: informational, except
+   * that `at` orders the records to drop and `by` names the process that runs a
+   * trial.
+   */
   by: string;
   at: number;
 }
 
-/** What to do with a request. */
+/** Whether a request may run. */
 export type QuarantineVerdict =
   | { kind: "free" }
   | { kind: "refused"; record: QuarantineRecord }
-  /** One process may let it run once, if the store agrees. */
+  /** One process may run it once in a trial, if the store agrees. */
   | { kind: "may-try"; record: QuarantineRecord };
--- a/src/rateLimits/index.ts
+++ b/src/rateLimits/index.ts
@@ -1,4 +1,4 @@
-/** The rates that replicas say they take, and who may use them. */
+/** Rate limits reported by replicas, and the permits to send within them. */
 export { RateLimits } from "./rateLimits.js";
 export { RateNewsFilter } from "./rateNewsFilter.js";
 export { NO_LIMITS } from "./types.js";
--- a/src/rateLimits/permitBucket.ts
+++ b/src/rateLimits/permitBucket.ts
@@ -1,29 +1,32 @@
 /**
- * Permits of a process that spends the rate of one replica by itself. It
- * starts empty, so that a process which has just become the one that spends
- * adds nothing to what the one before has given out. Pure; times are ms.
+ * Token bucket of permits for the process that allocates a replica's rate. It
+ * starts empty, so that a new allocator adds nothing to what the previous one
+ * has given out. Pure; times are ms.
  */
 import { addTokens, takeTokens } from "../shared/tokenBucket.js";
 import type { TokenBucket } from "../shared/tokenBucket.js";
 
-/** Permits of so much time are kept for a burst, ms, … */
-const STOCK_MS = 500;
-/** … and so many at least: with one, each waits for a request in vain. */
-const LEAST_STOCK = 2;
+/** Burst capacity as time at the current rate, ms, … */
+const BURST_MS = 500;
+/**
+ * … and its minimum in permits: with one, permits are lost while they wait for
+ * a request.
+ */
+const MIN_CAPACITY = 2;
 const MS_PER_SECOND = 1000;
 
 export class PermitBucket {
   private bucket: TokenBucket;
 
   constructor(now: number) {
-    this.bucket = { tokens: 0, capacity: LEAST_STOCK, perMs: 0, at: now };
+    this.bucket = { tokens: 0, capacity: MIN_CAPACITY, perMs: 0, at: now };
   }
 
-  /** From now on they come at this rate. */
+  /** Sets the rate at which permits are added. */
   setRate(perS: number, now: number): void {
     const filled = addTokens(this.bucket, 0, now);
     const perMs = perS / MS_PER_SECOND;
-    const capacity = Math.max(LEAST_STOCK, perMs * STOCK_MS);
+    const capacity = Math.max(MIN_CAPACITY, perMs * BURST_MS);
     const tokens = Math.min(capacity, filled.tokens);
     this.bucket = { ...filled, tokens, capacity, perMs };
   }
@@ -38,7 +41,7 @@
     return taken;
   }
 
-  /** Until there is one, ms. */
+  /** Time until a permit is available, ms. */
   get waitMs(): number {
     const { tokens, perMs } = this.bucket;
     return Math.max(0, (1 - tokens) / perMs);
--- a/src/rateLimits/permitSlots.ts
+++ b/src/rateLimits/permitSlots.ts
@@ -1,23 +1,23 @@
 /**
- * Permits of one of many processes that share the rate of a replica without
- * talking: one in each period, in its first half second, at a phase of this
- * process's own. What is not used is lost: where each process kept a permit
- * for later, sixty of them could use theirs in the same moment. Pure; times
- * are ms.
+ * Permits of one of many processes that share a replica's rate without
+ * coordination: one per period, valid in the period's first half second, at a
+ * random phase per process. Unused permits are lost: if each process kept one
+ * for later, sixty of them could use theirs at the same moment. Pure; times are
+ * ms.
  */
 
-/** A permit that is not used by then is lost, ms. */
-const OPEN_MS = 500;
+/** How long a permit can be used from the start of its period, ms. */
+const SLOT_MS = 500;
 const MS_PER_SECOND = 1000;
 
 export class PermitSlots {
-  /** Periods that have passed, whole ones and a part. */
+  /** Periods passed so far, including the fraction of the current one. */
   private passed: number;
   private perMs = 0;
   /** Number of the last period whose permit was used. */
   private used = -1;
 
-  /** `phase`: part of a period that has passed at the begin, 0 to 1. */
+  /** `phase`: fraction of a period that has passed at the start, 0 to 1. */
   constructor(
     phase: number,
     private at: number,
@@ -25,7 +25,7 @@
     this.passed = phase;
   }
 
-  /** From now on they come at this rate. */
+  /** Sets the rate at which periods pass. */
   setRate(perS: number, now: number): void {
     this.advance(now);
     this.perMs = perS / MS_PER_SECOND;
@@ -35,7 +35,7 @@
     this.advance(now);
     const period = Math.floor(this.passed);
     const openMs = (this.passed - period) / this.perMs;
-    return period !== this.used && openMs < OPEN_MS;
+    return period !== this.used && openMs < SLOT_MS;
   }
 
   take(now: number): boolean {
@@ -44,7 +44,7 @@
     return true;
   }
 
-  /** Until there is one, ms. */
+  /** Time until a permit is available, ms. */
   waitMs(now: number): number {
     if (this.isAvailable(now)) return 0;
     return (Math.floor(this.passed) + 1 - this.passed) / this.perMs;
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -1,10 +1,10 @@
 /**
- * The rates that replicas have said they take from all processes together,
- * and how much of them this process may use. A limit binds the sum over all
- * senders, also those that did not hear it: the process that places for all
- * spends it whole, others ask it, and spend a small part by themselves only
- * while it can't be reached. By life of a replica; pure; times are ms of one
- * clock.
+ * Rate limits that replicas have reported, and the share of them that this
+ * process may use. A limit applies to the sum over all senders, including those
+ * that have not received it: the allocator (the process that places for all)
+ * spends the whole rate and the others ask it for permits. They spend a small
+ * share themselves only while it can't be reached. Keyed by life (one run) of a
+ * replica; pure; times are ms of one clock.
  */
 import { LRUCache } from "lru-cache";
 
@@ -14,58 +14,67 @@
 import { PermitSlots } from "./permitSlots.js";
 import type { EnginePermits, PermitShare, RateNews } from "./types.js";
 
-/** Lives whose limits are remembered, the newest first. */
+/** Replica lives whose limits are remembered, the newest first. */
 const MAX_LIVES = 8192;
 /**
- * A replica that takes nothing gets one request in five seconds, a second:
- * only an answer to work tells that it takes more again.
+ * Minimum rate per second: a replica whose limit is zero still gets one request
+ * in five seconds, since only an answer to real work tells that the limit has
+ * been raised.
  */
-const LEAST_PER_S = 0.2;
-/** A limit above this is none. */
-const MOST_PER_S = 1_000_000;
+const MIN_PER_S = 0.2;
+/** A higher reported limit counts as none. */
+const MAX_PER_S = 1_000_000;
 /**
- * After its end a limit doubles in this time, ms, …: all senders are freed in
- * the same moment, and would return the load that had put the replica in need.
+ * After its end, a limit doubles in this time, ms, …: all senders are released
+ * at the same moment and would bring back the load that overloaded the replica.
  */
 const DOUBLING_MS = 1000;
 /** … and is forgotten after this, ms. */
-const FORGOTTEN_MS = 8000;
-/** A limit that kept a request back within this time binds, ms. */
-const BINDS_MS = 1000;
-/** Refused asks are counted over this time, ms. */
+const RETENTION_MS = 8000;
+/**
+ * A limit counts as throttling if it held a request back within this time, ms.
+ */
+const THROTTLING_MS = 1000;
+/** Time constant of the count of refused permits, ms. */
 const REFUSALS_MS = 1000;
-/** Between two asks that are refused, ms: bounds what a large fleet asks. */
-const REFUSED_GAP_MS = 2;
+/**
+ * Minimum interval between two refused asks, ms: bounds the ask rate of a large
+ * fleet.
+ */
+const MIN_REFUSAL_INTERVAL_MS = 2;
 const MS_PER_SECOND = 1000;
 
-interface Known {
+interface KnownLimit {
   perS: number;
-  /** When an answer named it last, here or at another process. */
+  /** When an answer last reported it, here or at another process. */
   heardAt: number;
-  /** Since when answers name none. */
+  /** Since when answers have not reported it. */
   endedAt: number | undefined;
   bucket: PermitBucket;
   slots: PermitSlots;
-  /** The process was the only one to spend it when last looked at. */
+  /** Whether this process was the allocator when last checked. */
   wasAllocator: boolean;
-  /** When it kept a request back last. */
+  /** When the limit last held a request back. */
   heldBackAt: number;
   refusals: FadingSum;
 }
 
-/** What one answer says of the limit of its replica. */
+/** What one answer reports of its replica's limit. */
 export interface RateReport {
-  /** Undefined: names none. */
+  /** Undefined: no limit reported. */
   perS: number | undefined;
-  /** Whether it would name a limit if there were one: a success of work. */
+  /**
+   * Whether the answer would report a limit if there were one: true for a
+   * successful answer to real work.
+   */
   mayEnd: boolean;
-  /** When the request left that it answers. */
+  /** When the answered request was sent. */
   sentAt: number;
 }
 
 export class RateLimits implements EnginePermits {
-  private readonly known = new LRUCache<string, Known>({ max: MAX_LIVES });
-  /** The share of this process in what a replica takes. */
+  private readonly known = new LRUCache<string, KnownLimit>({ max: MAX_LIVES });
+  /** The share of a replica's rate that this process may use. */
   shareOf: (replica: string) => PermitShare = () => ({
     fraction: 1,
     isAllocator: true,
@@ -73,33 +82,40 @@
 
   constructor(private readonly rng: Rng) {}
 
-  /** Takes in an answer; what others have to be told, if anything changed. */
+  /**
+   * Records an answer; returns the update to send to other processes, if
+   * anything changed.
+   */
   recordAnswer(
     replica: string,
-    word: RateReport,
+    report: RateReport,
     now: number,
   ): RateNews | undefined {
-    const known = this.current(replica, now);
-    const { perS } = word;
-    if (perS !== undefined && perS <= MOST_PER_S) {
+    const known = this.activeLimit(replica, now);
+    const { perS } = report;
+    if (perS !== undefined && perS <= MAX_PER_S) {
       const isNews = known?.perS !== perS || known.endedAt !== undefined;
-      this.name(replica, perS, now);
+      this.setLimit(replica, perS, now);
       return isNews ? { replica, perS, endedAgoMs: undefined } : undefined;
     }
     if (known === undefined || known.endedAt !== undefined) return undefined;
-    // Answers overtake each other: one to an older request proves no end.
-    if (!word.mayEnd || word.sentAt <= known.heardAt) return undefined;
+    // Answers can arrive out of order: one to an earlier request does not prove
+    // that the limit has ended.
+    if (!report.mayEnd || report.sentAt <= known.heardAt) return undefined;
     known.endedAt = now;
     return { replica, perS: known.perS, endedAgoMs: 0 };
   }
 
-  /** Another process has heard this; whether it was news here. */
+  /**
+   * Applies an update from another process; returns whether it changed
+   * anything.
+   */
   applyUpdate({ replica, perS, endedAgoMs }: RateNews, now: number): boolean {
-    const known = this.current(replica, now);
+    const known = this.activeLimit(replica, now);
     const isEnd = endedAgoMs !== undefined;
     if (!isEnd) {
       const isNews = known?.perS !== perS || known.endedAt !== undefined;
-      if (perS <= MOST_PER_S) this.name(replica, perS, now);
+      if (perS <= MAX_PER_S) this.setLimit(replica, perS, now);
       return isNews;
     }
     if (known === undefined || known.endedAt !== undefined) return false;
@@ -107,11 +123,11 @@
     return true;
   }
 
-  /** All that is in force now. */
+  /** All limits in force now. */
   activeLimits(now: number): RateNews[] {
     const news: RateNews[] = [];
     for (const replica of [...this.known.keys()]) {
-      const known = this.current(replica, now);
+      const known = this.activeLimit(replica, now);
       if (known === undefined) continue;
       const { perS, endedAt } = known;
       const endedAgoMs = endedAt === undefined ? undefined : now - endedAt;
@@ -121,17 +137,17 @@
   }
 
   isLimited(replica: string, now: number): boolean {
-    return this.current(replica, now) !== undefined;
+    return this.activeLimit(replica, now) !== undefined;
   }
 
-  /** Whether its limit keeps requests from it. */
+  /** Whether the limit has held requests back recently. */
   isThrottling(replica: string, now: number): boolean {
-    const known = this.current(replica, now);
-    return known !== undefined && now - known.heldBackAt < BINDS_MS;
+    const known = this.activeLimit(replica, now);
+    return known !== undefined && now - known.heldBackAt < THROTTLING_MS;
   }
 
   mayAcquire(replica: string, now: number): boolean {
-    const known = this.current(replica, now);
+    const known = this.activeLimit(replica, now);
     if (known === undefined) return true;
     const isAllocator = this.update(replica, known, now);
     const { bucket, slots } = known;
@@ -143,7 +159,7 @@
   }
 
   acquire(replica: string, now: number): boolean {
-    const known = this.current(replica, now);
+    const known = this.activeLimit(replica, now);
     if (known === undefined) return true;
     const isAllocator = this.update(replica, known, now);
     const { bucket, slots } = known;
@@ -154,27 +170,27 @@
     return false;
   }
 
-  /** When it is worth to ask again, ms from now. */
+  /** Time after which to ask again, ms. */
   waitMs(replica: string, now: number): number {
-    const known = this.current(replica, now);
+    const known = this.activeLimit(replica, now);
     if (known === undefined) return 0;
     const isAllocator = this.update(replica, known, now);
     const { bucket, slots, refusals } = known;
     const waitMs = isAllocator ? bucket.waitMs : slots.waitMs(now);
     const refusedPerS = refusals.rate(now) * MS_PER_SECOND;
-    return Math.max(waitMs, refusedPerS * REFUSED_GAP_MS);
+    return Math.max(waitMs, refusedPerS * MIN_REFUSAL_INTERVAL_MS);
   }
 
   ratePerS(replica: string, now: number): number {
-    const known = this.current(replica, now);
+    const known = this.activeLimit(replica, now);
     if (known === undefined) return Infinity;
-    return rateOf(known, now) * this.shareOf(replica).fraction;
+    return currentRate(known, now) * this.shareOf(replica).fraction;
   }
 
-  /** Brings its permits up to date; whether this process spends alone. */
-  private update(replica: string, known: Known, now: number): boolean {
+  /** Updates its permits; returns whether this process is the allocator. */
+  private update(replica: string, known: KnownLimit, now: number): boolean {
     const { fraction, isAllocator } = this.shareOf(replica);
-    const perS = rateOf(known, now) * fraction;
+    const perS = currentRate(known, now) * fraction;
     if (isAllocator && !known.wasAllocator)
       known.bucket = new PermitBucket(now);
     known.wasAllocator = isAllocator;
@@ -183,10 +199,10 @@
     return isAllocator;
   }
 
-  private name(replica: string, perS: number, now: number): void {
+  private setLimit(replica: string, perS: number, now: number): void {
     const known = this.known.get(replica);
     if (known === undefined) {
-      const fresh = this.newKnown(perS, now);
+      const fresh = this.newLimit(perS, now);
       this.known.set(replica, fresh);
       return void this.update(replica, fresh, now);
     }
@@ -195,7 +211,7 @@
     known.endedAt = undefined;
   }
 
-  private newKnown(perS: number, now: number): Known {
+  private newLimit(perS: number, now: number): KnownLimit {
     return {
       perS,
       heardAt: now,
@@ -208,19 +224,19 @@
     };
   }
 
-  /** Undefined where none is in force any more. */
-  private current(replica: string, now: number): Known | undefined {
+  /** The limit in force; undefined if there is none any more. */
+  private activeLimit(replica: string, now: number): KnownLimit | undefined {
     const known = this.known.peek(replica);
     const { endedAt } = known ?? {};
-    if (endedAt === undefined || now - endedAt < FORGOTTEN_MS) return known;
+    if (endedAt === undefined || now - endedAt < RETENTION_MS) return known;
     this.known.delete(replica);
     return undefined;
   }
 }
 
-/** Requests a second to it from all processes now. */
-const rateOf = ({ perS, endedAt }: Known, now: number): number => {
-  const least = Math.max(perS, LEAST_PER_S);
+/** Requests per second that the replica takes from all processes now. */
+const currentRate = ({ perS, endedAt }: KnownLimit, now: number): number => {
+  const least = Math.max(perS, MIN_PER_S);
   if (endedAt === undefined) return least;
   return least * 2 ** ((now - endedAt) / DOUBLING_MS);
 };
--- a/src/rateLimits/rateNewsFilter.ts
+++ b/src/rateLimits/rateNewsFilter.ts
@@ -1,38 +1,39 @@
 /**
- * Which limits one peer has to be told: those that are new to it, have ended,
- * or differ much from what it was told. A limit that changes with each answer
- * would else be told to each process of a large fleet each time. Holds no more
- * than is in force: a holder has one of these for each process. Pure.
+ * Selects the rate limits that one peer has to be sent: those that are new to
+ * it, have ended, or differ much from what it was last sent. Otherwise a limit
+ * that changes with each answer would be sent to each process of a large fleet
+ * each time. Keeps only limits in force, since a lease holder has one filter
+ * per process. Pure.
  */
 import type { RateNews } from "./types.js";
 
-/** A limit that differs by a smaller part is not told again. */
-const LEAST_CHANGE_PART = 0.2;
+/** Relative change below which a limit is not sent again. */
+const MIN_RELATIVE_CHANGE = 0.2;
 
 export class RateNewsFilter {
-  /** By replica. */
-  private told = new Map<string, RateNews>();
+  /** Last sent, by replica. */
+  private sent = new Map<string, RateNews>();
 
-  /** Those of `all` that are to be told; they count as told from now on. */
+  /** The limits in `all` to send now; they are recorded as sent. */
   selectUpdates(all: readonly RateNews[]): RateNews[] {
-    const before = this.told;
+    const before = this.sent;
     const now = new Map<string, RateNews>();
     const news: RateNews[] = [];
     for (const item of all) {
-      const told = before.get(item.replica);
-      const isTold = told !== undefined && !isNews(item, told);
-      if (!isTold) news.push(item);
-      now.set(item.replica, isTold ? told : item);
+      const sent = before.get(item.replica);
+      const isSent = sent !== undefined && !hasChanged(item, sent);
+      if (!isSent) news.push(item);
+      now.set(item.replica, isSent ? sent : item);
     }
-    this.told = now;
+    this.sent = now;
     return news;
   }
 }
 
-const isNews = (item: RateNews, told: RateNews): boolean => {
+const hasChanged = (item: RateNews, sent: RateNews): boolean => {
   const hasEnded = item.endedAgoMs !== undefined;
-  if (hasEnded !== (told.endedAgoMs !== undefined)) return true;
+  if (hasEnded !== (sent.endedAgoMs !== undefined)) return true;
   if (hasEnded) return false;
-  const change = Math.abs(item.perS - told.perS);
-  return change > told.perS * LEAST_CHANGE_PART;
+  const change = Math.abs(item.perS - sent.perS);
+  return change > sent.perS * MIN_RELATIVE_CHANGE;
 };
--- a/src/rateLimits/types.ts
+++ b/src/rateLimits/types.ts
@@ -1,40 +1,51 @@
-/** Messages and shares of the rates that replicas say they take. */
+/**
+ * Types of the rate limits that replicas report and of the permits to use them.
+ */
 
-/** What a replica has said of its rate, as processes tell each other. */
+/** A replica's rate limit as processes send it to each other. */
 export interface RateNews {
-  /** One life of a replica. */
+  /** Id of one life (one run) of a replica. */
   replica: string;
-  /** Requests a second that it takes from all processes together. */
+  /** Requests per second that it takes from all processes together. */
   perS: number;
-  /** Since its answers name no limit any more, ms; undefined: they do. */
+  /**
+   * Time since its answers stopped reporting the limit, ms; undefined while
+   * they report it.
+   */
   endedAgoMs: number | undefined;
 }
 
 /** How much of a replica's rate this process may use. */
 export interface PermitShare {
-  /** Part of the rate, 0 to 1. */
+  /** Fraction of the rate, 0 to 1. */
   fraction: number;
-  /** Others have to ask this process, and use none by themselves. */
+  /**
+   * Whether this process allocates the rate: others ask it for permits and use
+   * none by themselves.
+   */
   isAllocator: boolean;
 }
 
-/** Whether one more request may go to a replica. */
+/** Whether one more request may be sent to a replica. */
 export type PermitAnswer =
   | { kind: "acquired" }
   /** `waitMs`: when to ask again. */
   | { kind: "held-back"; waitMs: number };
 
-/** What the scheduler has to know of the rates that engines take. */
+/** What the scheduler needs to know about the rate limits of engines. */
 export interface EnginePermits {
-  /** Whether one more request may go there now. */
+  /** Whether one more request may be sent there now. */
   mayAcquire(engine: string, now: number): boolean;
-  /** Takes the permit for it; false: there is none. */
+  /** Takes a permit; false if none is available. */
   acquire(engine: string, now: number): boolean;
-  /** Requests a second that this process may send there; Infinity: any. */
+  /**
+   * Requests per second that this process may send there; Infinity if
+   * unlimited.
+   */
   ratePerS(engine: string, now: number): number;
 }
 
-/** For schedulers whose engines never name a limit. */
+/** For schedulers whose engines report no limits. */
 export const NO_LIMITS: EnginePermits = {
   mayAcquire: () => true,
   acquire: () => true,
--- a/src/retry/retry.ts
+++ b/src/retry/retry.ts
@@ -1,28 +1,30 @@
-/** Whether a failed attempt is tried again, and where the budget stands. */
+/**
+ * Decides whether a failed attempt is retried, and updates the retry budget.
+ */
 import type { Repeat } from "../config/index.js";
 import { addTokens, takeTokens } from "../shared/tokenBucket.js";
 import type { TokenBucket } from "../shared/tokenBucket.js";
 import type { RequestFailure } from "../shared/errors.js";
 
-/** Retries that each request earns. */
-const EARNED_PER_REQUEST = 0.2;
-/** Retries a second that a quiet service has. */
-const LEAST_PER_SECOND = 5;
-const LARGEST_BUDGET = 50;
+/** Retry tokens added per request. */
+const TOKENS_PER_REQUEST = 0.2;
+/** Retries per second available even without traffic. */
+const MIN_RETRIES_PER_SECOND = 5;
+const MAX_BUDGET = 50;
 
-/** Retries of one service, at one entry. */
+/** Retry budget of one service at one entry. */
 export const newRetryBudget = (now: number): TokenBucket => ({
-  tokens: LARGEST_BUDGET,
-  capacity: LARGEST_BUDGET,
-  perMs: LEAST_PER_SECOND / 1000,
+  tokens: MAX_BUDGET,
+  capacity: MAX_BUDGET,
+  perMs: MIN_RETRIES_PER_SECOND / 1000,
   at: now,
 });
 
-/** A first attempt was made: it earns a part of a retry. */
+/** Credits the budget for a first attempt, by a fraction of a retry. */
 export const creditRetryBudget = (
   bucket: TokenBucket,
   now: number,
-): TokenBucket => addTokens(bucket, EARNED_PER_REQUEST, now);
+): TokenBucket => addTokens(bucket, TOKENS_PER_REQUEST, now);
 
 export const MAX_ATTEMPTS = 4;
 
@@ -39,8 +41,8 @@
   | { kind: "give-up"; why: string; bucket: TokenBucket };
 
 /**
- * `not-run` may go elsewhere; `may-have-run` only where a repeat is safe;
- * `ran` never.
+ * A `not-run` failure may be retried elsewhere, `may-have-run` only if a repeat
+ * is safe, `ran` never.
  */
 export const decideRetry = (
   question: RetryContext,
--- a/tests/rateLimits/ratePermits.test.ts
+++ b/tests/rateLimits/ratePermits.test.ts
@@ -42,7 +42,10 @@
 
   it("is that of the entries left, where its lease is not fresh", () => {
     const permits = permitsOf([link("model", STALE, 60)], 15);
-    expect(permits.share("model")).to.eql({ fraction: 0.25, isAllocator: true });
+    expect(permits.share("model")).to.eql({
+      fraction: 0.25,
+      isAllocator: true,
+    });
   });
 
   it("is a small part for all others, and for who knows no holder", () => {
