--- a/src/placement/leaseKeeper.ts
+++ b/src/placement/leaseKeeper.ts
@@ -204,7 +204,10 @@
     const { self, now, log, service } = this.options;
     const parsed = leaseSchema.safeParse(item?.value);
     if (item !== undefined && !parsed.success) {
-      log.error("lease can't be read", { service, why: parsed.error.message });
+      log.error("stored lease can't be parsed", {
+        service,
+        why: parsed.error.message,
+      });
     }
     const wasHolder = this.isHolder;
     const before = this.stored;
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -124,7 +124,8 @@
     this.stream.on("data", (reply: PlaceReply) => this.onReply(reply));
     this.stream.on("end", () => this.disconnect("the holder ended the stream"));
     this.stream.on("error", (err) => this.disconnect(err.message));
-    const giveUp = () => this.disconnect("the holder can't be reached");
+    const giveUp = () =>
+      this.disconnect("the holder did not accept the stream in time");
     this.connectTimer = setTimeout(giveUp, CONNECT_TIMEOUT_MS);
     // Registers this entry with the holder before its first ask.
     this.send({});
@@ -280,7 +281,7 @@
     } catch (err) {
       const { service, address, log } = this.options;
       const why = errText(err);
-      log.warn("configuration of the holder not read", {
+      log.warn("configuration from the holder can't be parsed", {
         service,
         address,
         why,
@@ -304,7 +305,7 @@
 
   private disconnectIfSilent(heard: number): void {
     if (this.statesReceived === heard)
-      this.disconnect("the holder says nothing");
+      this.disconnect("no state received from the holder");
   }
 
   private onQueued(id: string): void {
--- a/src/retry/retry.ts
+++ b/src/retry/retry.ts
@@ -54,12 +54,13 @@
     why,
     bucket,
   });
-  if (failure.verdict === "ran") return giveUp("it ran");
+  if (failure.verdict === "ran") return giveUp("the request ran");
   const isUnsafe = failure.verdict === "may-have-run" && repeat === "never";
-  if (isUnsafe) return giveUp("it may have run and must not be repeated");
-  if (now >= deadlineAt) return giveUp("its deadline is over");
-  if (attempts >= MAX_ATTEMPTS) return giveUp("attempts are used up");
+  if (isUnsafe)
+    return giveUp("the request may have run and must not be repeated");
+  if (now >= deadlineAt) return giveUp("the deadline has passed");
+  if (attempts >= MAX_ATTEMPTS) return giveUp("all attempts are used");
   const spent = takeTokens(bucket, 1, now);
-  if (!spent.taken) return giveUp("the retry budget is used up");
+  if (!spent.taken) return giveUp("the retry budget is exhausted");
   return { kind: "again", bucket: spent.bucket };
 };
