--- a/src/gateway/cacheListLoader.ts
+++ b/src/gateway/cacheListLoader.ts
@@ -63,7 +63,7 @@
       const whole = await readWholeBody(sent, MAX_LIST_BYTES);
       if (whole.kind === "cut" || sent.res.statusCode !== 200) return 0;
       const parts = codec.readCacheList(whole.body.toString("utf8"));
-      local.learnCache(service, id, parts);
+      local.recordCachedParts(service, id, parts);
       return parts.length;
     } catch (err) {
       log.warn("engine cache list failed", { replica: id, why: errText(err) });
--- a/src/gateway/engineFailureReporter.ts
+++ b/src/gateway/engineFailureReporter.ts
@@ -22,13 +22,13 @@
     const why = "engine did not respond";
     this.logSendFailure(caller, engine, "read", why);
     const ended = { kind: "read" as const, id: grantId, ok: false };
-    this.options.placement.note(caller.service, ended);
+    this.options.placement.reportEvent(caller.service, ended);
     return { kind: "failed", verdict: "not-run", why, avoid: engine };
   }
 
   reportSilent({ caller, grantId }: RequestProgress, engine: string): void {
     const event = { kind: "silent" as const, id: grantId, engine };
-    this.options.placement.note(caller.service, event);
+    this.options.placement.reportEvent(caller.service, event);
   }
 
   /**
@@ -43,7 +43,7 @@
   ): RoundResult {
     const { caller, grantId } = progress;
     const event = { kind: "rejected" as const, id: grantId };
-    this.options.placement.note(caller.service, event);
+    this.options.placement.reportEvent(caller.service, event);
     this.logSendFailure(caller, engine, phase, why);
     return {
       kind: "failed",
@@ -61,7 +61,7 @@
   onWrongStage(progress: RequestProgress, engine: string): RoundResult {
     const { caller, grantId } = progress;
     const event = { kind: "wrong-stage" as const, id: grantId, engine };
-    this.options.placement.note(caller.service, event);
+    this.options.placement.reportEvent(caller.service, event);
     this.options.replicas.markMisdirected(engine, this.options.now());
     const why = "engine has changed stage or is gone";
     this.logSendFailure(caller, engine, "place", why);
--- a/src/gateway/plainPermits.ts
+++ b/src/gateway/plainPermits.ts
@@ -14,7 +14,7 @@
 
 /** Grants permits for single requests to rate-limited replicas. */
 export interface PermitSource {
-  permit(service: string, replica: string): Promise<PermitAnswer>;
+  acquire(service: string, replica: string): Promise<PermitAnswer>;
 }
 
 /** `permitAt`: instant the permit dates from; undefined: none is needed. */
@@ -43,7 +43,7 @@
       return { kind: "may-go", permitAt: undefined };
     }
     const askedAt = now();
-    const answer = await permits.permit(service, replica);
+    const answer = await permits.acquire(service, replica);
     if (answer.kind === "acquired") {
       // The time of the request: this process may read the answer late.
       return { kind: "may-go", permitAt: askedAt };
--- a/src/gateway/quarantineManager.ts
+++ b/src/gateway/quarantineManager.ts
@@ -3,7 +3,7 @@
  * requests at this entry and shares its observations with the fleet.
  */
 import { Quarantine } from "../quarantine/index.js";
-import type { Bar } from "../quarantine/index.js";
+import type { QuarantineRecord } from "../quarantine/index.js";
 import type { RequestFailure } from "../shared/errors.js";
 import { errText } from "../shared/utils.js";
 import type { Supervisor } from "../tasks/index.js";
@@ -61,16 +61,16 @@
   }
 
   onEnd({ replica, requests }: ReplicaEnd): void {
-    this.quarantine.noteEnd(requests, replica.id);
+    this.quarantine.recordReplicaEnd(requests, replica.id);
     this.unsharedSince ??= this.options.now();
     this.hasNewEnds = true;
     this.logBarChanges();
   }
 
   onSurvived(caller: CallerRequest): void {
-    if (!this.quarantine.mightKnow(caller.body.length)) return;
+    if (!this.quarantine.mayBeTracked(caller.body.length)) return;
     this.trials.noteSurvived(caller);
-    const isNews = this.quarantine.noteSurvived(caller.digest);
+    const isNews = this.quarantine.recordSurvival(caller.digest);
     if (isNews) this.unsharedSince ??= this.options.now();
   }
 
@@ -80,13 +80,13 @@
     this.storedBarSteps = new Map(
       bars.map(({ digest, step }) => [digest, step]),
     );
-    this.quarantine.learnBars(bars);
+    this.quarantine.applyRecords(bars);
     this.logBarChanges();
   }
 
   /** Called before a request is processed; why it may not run, if so. */
   async admit(caller: CallerRequest): Promise<RequestFailure | undefined> {
-    if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
+    if (!this.quarantine.mayBeTracked(caller.body.length)) return undefined;
     const verdict = this.quarantine.verdict(
       caller.digest,
       maxTrialSends(caller),
@@ -95,14 +95,14 @@
     const mayTry = verdict.kind === "may-try";
     if (mayTry && (await this.trials.claim(caller))) return undefined;
     this.options.metrics.count("quarantine", { what: "refused" });
-    return this.failure(verdict.bar);
+    return this.failure(verdict.record);
   }
 
   /** Called before each send: a bar may be newer than the request. */
   refusal(caller: CallerRequest): RequestFailure | undefined {
     if (caller.isTrial) return undefined;
-    if (!this.quarantine.mightKnow(caller.body.length)) return undefined;
-    const bar = this.quarantine.barOf(caller.digest);
+    if (!this.quarantine.mayBeTracked(caller.body.length)) return undefined;
+    const bar = this.quarantine.activeRecord(caller.digest);
     return bar && this.failure(bar);
   }
 
@@ -137,7 +137,7 @@
   private async restore(): Promise<void> {
     const { all, own } = await this.store.readEnds();
     this.quarantine.restore(own);
-    this.quarantine.learnEnds(all);
+    this.quarantine.applyEndRecords(all);
     this.hasRestored = true;
     this.logBarChanges();
   }
@@ -161,13 +161,13 @@
 
   private async learnEnds(): Promise<void> {
     const { all } = await this.store.readEnds();
-    this.quarantine.learnEnds([...all, this.quarantine.toRecord()]);
+    this.quarantine.applyEndRecords([...all, this.quarantine.toRecord()]);
     this.logBarChanges();
   }
 
   private get hasUnstoredBars(): boolean {
     return this.quarantine
-      .allBars()
+      .allRecords()
       .some(
         ({ digest, step }) => step > (this.storedBarSteps.get(digest) ?? 0),
       );
@@ -175,13 +175,13 @@
 
   private async shareBars(): Promise<boolean> {
     for (let round = 0; round < MAX_CONFLICTS; round += 1) {
-      const outcome = await this.store.writeBars(this.quarantine.allBars());
+      const outcome = await this.store.writeBars(this.quarantine.allRecords());
       if (outcome !== "conflict") return outcome === "written";
     }
     return false;
   }
 
-  private failure({ lives, by, at }: Bar): RequestFailure {
+  private failure({ lives, by, at }: QuarantineRecord): RequestFailure {
     const ageMs = Math.max(0, this.options.wallNow() - at);
     const age = `${Math.round(ageMs / MS_PER_SECOND)} s`;
     return {
@@ -194,7 +194,7 @@
 
   /** Logs and counts each step of each bar once. */
   private logBarChanges(): void {
-    const bars = this.quarantine.allBars();
+    const bars = this.quarantine.allRecords();
     const before = this.loggedBarSteps;
     this.loggedBarSteps = new Map(
       bars.map(({ digest, step }) => [digest, step]),
--- a/src/gateway/quarantineStore.ts
+++ b/src/gateway/quarantineStore.ts
@@ -7,8 +7,8 @@
  */
 import { z } from "zod/v4";
 
-import { BAR_STATES } from "../quarantine/index.js";
-import type { Bar, EndRecord } from "../quarantine/index.js";
+import { QUARANTINE_STATES } from "../quarantine/index.js";
+import type { QuarantineRecord, EndRecord } from "../quarantine/index.js";
 import { ABSENT } from "../store/index.js";
 import type { FeedItem, ObjectFeed } from "../store/index.js";
 import type { GatewaySource, GatewayState } from "./gatewayState.js";
@@ -20,7 +20,7 @@
 
 const barSchema = z.object({
   digest: z.string(),
-  state: z.enum(BAR_STATES),
+  state: z.enum(QUARANTINE_STATES),
   step: z.number().int(),
   lives: z.array(z.string()),
   sends: z.number().int(),
@@ -34,7 +34,7 @@
   typeof value === "object" && value !== null ? { ...value } : {};
 
 /** Bars in a status; items that don't match the schema are ignored. */
-export const parseBars = (status: unknown): Bar[] => {
+export const parseBars = (status: unknown): QuarantineRecord[] => {
   const listed = fieldsOf(status)[BARS_FIELD];
   if (!Array.isArray(listed)) return [];
   return listed.flatMap((item) => {
@@ -107,7 +107,7 @@
   }
 
   /** One conditional write; on a conflict, applies the other writer's state. */
-  async writeBars(bars: readonly Bar[]): Promise<BarsWrite> {
+  async writeBars(bars: readonly QuarantineRecord[]): Promise<BarsWrite> {
     const { state, feed, source } = this.options;
     const item = newerItem(state.storedConfig, this.conflictItem);
     // Overwriting a status that was not read would lose other entries' bars.
--- a/src/gateway/replicaClient.ts
+++ b/src/gateway/replicaClient.ts
@@ -201,7 +201,7 @@
     const { rates, log, metrics, now } = this.options;
     const mayEnd = purpose === "work" && isGood && unreadLimit === undefined;
     const announced = { perS: limitPerS, mayEnd, sentAt };
-    const news = rates.hear(id, announced, now());
+    const news = rates.recordAnswer(id, announced, now());
     if (news === undefined) return;
     const isEnd = news.endedAgoMs !== undefined;
     metrics.count("replica_signal", { kind: isEnd ? "unlimited" : "limited" });
--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -44,7 +44,7 @@
   replicas: ReplicaSet;
   authority: HolderAuthority;
   client: ReplicaClient;
-  rates: Pick<RateLimits, "binds">;
+  rates: Pick<RateLimits, "isThrottling">;
   codec: RequestCodec;
   log: Log;
   now: () => number;
@@ -75,7 +75,7 @@
       now(),
     );
     this.pruneChanges(now());
-    const mayOrder = this.guard.fence(now()) !== undefined;
+    const mayOrder = this.guard.fencingEpoch(now()) !== undefined;
     if (!mayOrder || now() < this.refusedUntil) return;
     const changes: StageChange[] = [];
     while (changes.length < MAX_ORDERS_PER_STEP) {
@@ -125,7 +125,7 @@
       .filter(
         ({ view }) =>
           replicas.signals.refusal(view.id, now) === undefined &&
-          !rates.binds(view.id, now),
+          !rates.isThrottling(view.id, now),
       );
     return planStages({
       engines: engines.map((engine) => ({
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -131,7 +131,7 @@
       const isCut = !isDone || caller.isCallerGone;
       const stream = progress.relay.takeStreamResult(isCut);
       const event = { kind: "ended" as const, id, ok, firstEventMs, stream };
-      placement.note(caller.service, event);
+      placement.reportEvent(caller.service, event);
     }
   }
 
@@ -160,7 +160,7 @@
     const unavailable = replicas.signals.unavailableIds(service, now());
     return new Promise((resolve, reject) => {
       const stopListening = caller.cancellation.onCancel(() => {
-        placement.withdraw(service, grantId);
+        placement.cancel(service, grantId);
         resolve(undefined);
       });
       const onAnswer = (answer: PlacementAnswer): void => {
@@ -168,7 +168,8 @@
         resolve(answer);
         if (!caller.cancellation.isCancelled) return;
         const isGranted = answer.kind === "granted";
-        if (isGranted) placement.note(service, unusedGrantEnded(grantId));
+        if (isGranted)
+          placement.reportEvent(service, unusedGrantEnded(grantId));
       };
       placement
         .place(toPlacementAsk(progress, domain, unavailable))
@@ -215,7 +216,7 @@
     if (read.kind === "unavailable" && !caller.cancellation.isCancelled)
       return this.failures.onRejected(progress, reader, "read", read.why);
     const ok = read.kind === "read";
-    placement.note(caller.service, { kind: "read", id: grantId, ok });
+    placement.reportEvent(caller.service, { kind: "read", id: grantId, ok });
     if (read.kind === "read") {
       if (!caller.cancellation.isCancelled) return read;
       this.calls.releaseHandle(caller.service, read.handle);
@@ -232,7 +233,7 @@
     progress.firstEventMs = this.options.now() - progress.runSentAt;
     if (!progress.runnerPrefills) return;
     const event = { kind: "begun" as const, id: grantId };
-    this.options.placement.note(caller.service, event);
+    this.options.placement.reportEvent(caller.service, event);
   }
 
   private failRequest(
--- a/src/gateway/usageTracker.ts
+++ b/src/gateway/usageTracker.ts
@@ -76,7 +76,7 @@
   /** Sends all counts to a newly connected holder, which has none of them. */
   onHolder(service: string): void {
     if (service !== this.service) return;
-    this.options.placement.tellUsage(service, this.process, this.counts.all());
+    this.options.placement.sendUsage(service, this.process, this.counts.all());
   }
 
   /** The service whose lease holder is responsible for the report. */
@@ -93,7 +93,7 @@
       for (const window of this.counts.all())
         this.recordCounts(this.process, window);
     } else if (news.length > 0) {
-      placement.tellUsage(service, this.process, news);
+      placement.sendUsage(service, this.process, news);
     }
   }
 
@@ -109,7 +109,7 @@
     const { placement, leaseMs, now, ...rest } = this.options;
     const guard = new TakeoverGuard(placement, service, leaseMs);
     const { ledger } = this;
-    const fence = (): number | undefined => guard.fence(now());
+    const fence = (): number | undefined => guard.fencingEpoch(now());
     return new UsageReporter({ ...rest, ledger, fence, now });
   }
 }
--- a/src/placement/ratePermits.ts
+++ b/src/placement/ratePermits.ts
@@ -1,7 +1,8 @@
 /**
- * Who spends the rate that a limited replica takes: the holder of its
- * service; for a plain service, which nobody places, the holder of the first
- * service that has one. All others ask it.
+ * Decides which process allocates the rate of a limited replica: the lease
+ * holder of its service or, for a plain service (whose requests are not
+ * placed), the holder of the first service that has one. All others ask it for
+ * permits.
  */
 import type {
   PermitAnswer,
@@ -9,73 +10,81 @@
   RateLimits,
   RateNews,
 } from "../rateLimits/index.js";
-import type { HolderLink } from "./holderLink.js";
+import type { HolderConnection } from "./holderConnection.js";
 
 /**
- * Entries assumed to share a rate while none was counted: too many leave some
- * of it unused for a moment, too few would break it.
+ * Entries assumed to share a rate while none have been counted. Too high leaves
+ * some of the rate unused for a moment; too low would exceed it.
  */
-const UNCOUNTED_ENTRIES = 64;
+const ASSUMED_ENTRIES = 64;
 /**
- * Part of the rate of a limited replica that is used by processes which can't
- * reach the one that spends it. Others may still reach it and use the whole;
- * the two together must stay below one and a half times the rate.
+ * Fraction of a replica's rate shared by the processes that can't reach its
+ * allocator. Others may still reach it and use the whole rate; the two together
+ * must stay below one and a half times the rate.
  */
-const UNLED_PART = 0.5;
+const UNCOORDINATED_FRACTION = 0.5;
 
 export interface RatePermitsOptions {
   rates: RateLimits;
-  /** By service. */
-  links: ReadonlyMap<string, HolderLink>;
-  /** Entries that place through this process, itself included. */
-  entriesHere(service: string): number;
+  /** Connections to lease holders, by service. */
+  connections: ReadonlyMap<string, HolderConnection>;
+  /** Entries that place through this process, including itself. */
+  connectedEntries(service: string): number;
   now: () => number;
 }
 
 export class RatePermits {
   constructor(private readonly options: RatePermitsOptions) {}
 
-  /** How much of what a replica of a service takes this process may use. */
+  /**
+   * The fraction of the rate of a service's replicas that this process may use.
+   */
   share(service: string): PermitShare {
-    const link = this.linkFor(service);
-    const entries = link?.entries ?? UNCOUNTED_ENTRIES;
-    const isSole = link?.keeper.isHolder ?? false;
-    if (link === undefined || !isSole) {
-      return { part: UNLED_PART / entries, isSole };
+    const connection = this.connectionFor(service);
+    const entries = connection?.entryCount ?? ASSUMED_ENTRIES;
+    const isAllocator = connection?.keeper.isHolder ?? false;
+    if (connection === undefined || !isAllocator) {
+      return { fraction: UNCOORDINATED_FRACTION / entries, isAllocator };
     }
-    if (link.keeper.isFresh) return { part: 1, isSole };
-    // Others may have found another holder: only those that are left count.
-    const here = this.options.entriesHere(link.service);
-    return { part: Math.min(1, here / entries), isSole };
+    if (connection.keeper.isFresh) return { fraction: 1, isAllocator };
+    // Others may have found another holder: count only the entries still
+    // connected here.
+    const here = this.options.connectedEntries(connection.service);
+    return { fraction: Math.min(1, here / entries), isAllocator };
   }
 
-  /** Whether one request may go to a replica on which nobody places. */
-  async permit(service: string, replica: string): Promise<PermitAnswer> {
-    const { client } = this.linkFor(service) ?? {};
-    return (await client?.askPermit(replica)) ?? this.permitHere(replica);
+  /**
+   * Acquires a permit to send one request to a replica of a plain service, from
+   * the allocator or else locally.
+   */
+  async acquire(service: string, replica: string): Promise<PermitAnswer> {
+    const { client } = this.connectionFor(service) ?? {};
+    return (
+      (await client?.requestPermit(replica)) ?? this.acquireLocally(replica)
+    );
   }
 
-  /** The same by what this process may use. */
-  permitHere(replica: string): PermitAnswer {
+  /** Acquires a permit from this process's own share. */
+  acquireLocally(replica: string): PermitAnswer {
     const { rates, now } = this.options;
     if (rates.acquire(replica, now())) return { kind: "acquired" };
     return { kind: "held-back", waitMs: rates.waitMs(replica, now()) };
   }
 
-  /** Tells whoever spends the rate of a service's replicas. */
-  tell(service: string, news: RateNews): void {
-    this.linkFor(service)?.client?.tellRates([news]);
+  /** Reports a rate limit to the allocator of the service's replicas. */
+  reportRate(service: string, news: RateNews): void {
+    this.connectionFor(service)?.client?.sendRates([news]);
   }
 
-  /** Other processes have heard this. */
-  learn(news: readonly RateNews[]): void {
+  /** Applies rate limits received from other processes. */
+  applyUpdates(news: readonly RateNews[]): void {
     const { rates, now } = this.options;
-    for (const item of news) rates.learn(item, now());
+    for (const item of news) rates.applyUpdate(item, now());
   }
 
-  private linkFor(service: string): HolderLink | undefined {
-    const { links } = this.options;
-    const [first = ""] = [...links.keys()].sort();
-    return links.get(service) ?? links.get(first);
+  private connectionFor(service: string): HolderConnection | undefined {
+    const { connections } = this.options;
+    const [first = ""] = [...connections.keys()].sort();
+    return connections.get(service) ?? connections.get(first);
   }
 }
--- a/src/retry/retry.ts
+++ b/src/retry/retry.ts
@@ -1,30 +1,34 @@
-/** Whether a failed attempt is tried again, and where the budget stands. */
+/**
+ * Decides whether a failed attempt is retried, and updates the retry budget.
+ */
 import type { Repeat } from "../config/index.js";
 import { addTokens, takeTokens } from "../shared/tokenBucket.js";
 import type { TokenBucket } from "../shared/tokenBucket.js";
 import type { RequestFailure } from "../shared/errors.js";
 
-/** Retries that each request earns. */
-const EARNED_PER_REQUEST = 0.2;
-/** Retries a second that a quiet service has. */
-const LEAST_PER_SECOND = 5;
-const LARGEST_BUDGET = 50;
+/** Retry tokens added per request. */
+const TOKENS_PER_REQUEST = 0.2;
+/** Retries per second available even without traffic. */
+const MIN_RETRIES_PER_SECOND = 5;
+const MAX_BUDGET = 50;
 
-/** Retries of one service, at one entry. */
+/** Retry budget of one service at one entry. */
 export const newRetryBudget = (now: number): TokenBucket => ({
-  tokens: LARGEST_BUDGET,
-  capacity: LARGEST_BUDGET,
-  perMs: LEAST_PER_SECOND / 1000,
+  tokens: MAX_BUDGET,
+  capacity: MAX_BUDGET,
+  perMs: MIN_RETRIES_PER_SECOND / 1000,
   at: now,
 });
 
-/** A first attempt was made: it earns a part of a retry. */
-export const earnRetry = (bucket: TokenBucket, now: number): TokenBucket =>
-  addTokens(bucket, EARNED_PER_REQUEST, now);
+/** Credits the budget for a first attempt, by a fraction of a retry. */
+export const creditRetryBudget = (
+  bucket: TokenBucket,
+  now: number,
+): TokenBucket => addTokens(bucket, TOKENS_PER_REQUEST, now);
 
 export const MAX_ATTEMPTS = 4;
 
-export interface RetryQuestion {
+export interface RetryContext {
   failure: RequestFailure;
   repeat: Repeat;
   attempts: number;
@@ -32,30 +36,31 @@
   now: number;
 }
 
-export type RetryAnswer =
+export type RetryDecision =
   | { kind: "again"; bucket: TokenBucket }
   | { kind: "give-up"; why: string; bucket: TokenBucket };
 
 /**
- * `not-run` may go elsewhere; `may-have-run` only where a repeat is safe;
- * `ran` never.
+ * A `not-run` failure may be retried elsewhere, `may-have-run` only if a repeat
+ * is safe, `ran` never.
  */
 export const decideRetry = (
-  question: RetryQuestion,
+  question: RetryContext,
   bucket: TokenBucket,
-): RetryAnswer => {
+): RetryDecision => {
   const { failure, repeat, attempts, deadlineAt, now } = question;
-  const giveUp = (why: string): RetryAnswer => ({
+  const giveUp = (why: string): RetryDecision => ({
     kind: "give-up",
     why,
     bucket,
   });
-  if (failure.verdict === "ran") return giveUp("it ran");
+  if (failure.verdict === "ran") return giveUp("the request ran");
   const isUnsafe = failure.verdict === "may-have-run" && repeat === "never";
-  if (isUnsafe) return giveUp("it may have run and must not be repeated");
-  if (now >= deadlineAt) return giveUp("its deadline is over");
-  if (attempts >= MAX_ATTEMPTS) return giveUp("attempts are used up");
+  if (isUnsafe)
+    return giveUp("the request may have run and must not be repeated");
+  if (now >= deadlineAt) return giveUp("the deadline has passed");
+  if (attempts >= MAX_ATTEMPTS) return giveUp("all attempts are used");
   const spent = takeTokens(bucket, 1, now);
-  if (!spent.taken) return giveUp("the retry budget is used up");
+  if (!spent.taken) return giveUp("the retry budget is exhausted");
   return { kind: "again", bucket: spent.bucket };
 };
