--- a/bench/player/engineModel.ts
+++ b/bench/player/engineModel.ts
@@ -12,13 +12,13 @@
 const PAIRS_PER_M = 1e6;
 const TOKENS_PER_K = 1000;
 /** An engine that makes tokens reads at half the pace. */
-const DECODE_READ_FACTOR = 2;
+const DECODE_PREFILL_FACTOR = 2;
 /** Part of the memory that is left for cached parts. */
-const CACHE_PART = 0.8;
+const CACHE_FRACTION = 0.8;
 
 export class EngineModel {
   private readonly cache: LRUCache<string, number>;
-  private readerFreeAt = 0;
+  private prefillFreeAt = 0;
   runs = 0;
   /** Prompt and output tokens that the current runs hold in memory. */
   runTokens = 0;
@@ -26,8 +26,8 @@
   /** Set while it lets its runs end and changes. */
   changingTo: Stage | undefined;
   /** Grows with each crash: what was begun before is lost. */
-  life = 0;
-  slowTimes = 1;
+  incarnation = 0;
+  slowdown = 1;
 
   constructor(
     readonly id: string,
@@ -36,24 +36,24 @@
     private readonly slowness: number,
   ) {
     this.cache = new LRUCache({
-      maxSize: spec.kvCapacityTokens * CACHE_PART,
+      maxSize: spec.kvCapacityTokens * CACHE_FRACTION,
       sizeCalculation: (tokens: number) => tokens,
     });
   }
 
-  get takesWork(): boolean {
+  get acceptsWork(): boolean {
     return !this.isDown && this.changingTo === undefined;
   }
 
   crash(): void {
     this.isDown = true;
-    this.life += 1;
+    this.incarnation += 1;
     this.runs = 0;
     this.runTokens = 0;
     this.cache.clear();
   }
 
-  heldTokens(parts: readonly CachePart[]): number {
+  cachedTokens(parts: readonly CachePart[]): number {
     let held = 0;
     for (const { id, tokens } of parts) {
       if (this.cache.get(id) === undefined) break;
@@ -62,25 +62,25 @@
     return held;
   }
 
-  keep(parts: readonly CachePart[]): void {
+  addToCache(parts: readonly CachePart[]): void {
     for (const { id, tokens } of parts) this.cache.set(id, tokens);
   }
 
   /** Reads a prompt after those before it; gives the instant of its end. */
-  read(
+  prefill(
     parts: readonly CachePart[],
     promptTokens: number,
     donor: EngineModel | undefined,
     now: number,
   ): number {
-    const own = this.heldTokens(parts);
-    const offered = donor?.isDown === false ? donor.heldTokens(parts) : 0;
+    const own = this.cachedTokens(parts);
+    const offered = donor?.isDown === false ? donor.cachedTokens(parts) : 0;
     const held = Math.max(own, offered);
     const moveMs = (held - own) * this.spec.moveMsPerToken;
-    const tookMs = moveMs + this.readMs(promptTokens, held);
-    this.readerFreeAt = Math.max(now, this.readerFreeAt) + tookMs;
-    this.keep(parts);
-    return this.readerFreeAt;
+    const tookMs = moveMs + this.prefillMs(promptTokens, held);
+    this.prefillFreeAt = Math.max(now, this.prefillFreeAt) + tookMs;
+    this.addToCache(parts);
+    return this.prefillFreeAt;
   }
 
   /** Time between two events of a run, at the present load. */
@@ -92,14 +92,14 @@
   }
 
   private get pace(): number {
-    return this.slowness * this.slowTimes;
+    return this.slowness * this.slowdown;
   }
 
-  private readMs(promptTokens: number, held: number): number {
+  private prefillMs(promptTokens: number, held: number): number {
     const { fixedMs, tokenMs, mPairMs } = this.spec;
     const tokens = Math.max(0, promptTokens - held);
     const mPairs = (tokens * (held + tokens / 2)) / PAIRS_PER_M;
-    const factor = this.stage === "decode" ? DECODE_READ_FACTOR : 1;
+    const factor = this.stage === "decode" ? DECODE_PREFILL_FACTOR : 1;
     return (fixedMs + tokens * tokenMs + mPairs * mPairMs) * factor * this.pace;
   }
 }
--- a/bench/player/fleet.ts
+++ b/bench/player/fleet.ts
@@ -16,20 +16,20 @@
 import { EngineModel } from "./engineModel.js";
 import type { Fault, Load } from "./load.js";
 
-const MS = 1000;
+const MS_PER_SECOND = 1000;
 /** As the holder of the lease does it, ms. */
-const SETTLE_MS = 5;
-const STEP_MS = 300;
-const ORDERS_AT_ONCE = 4;
+const QUEUE_INTERVAL_MS = 5;
+const PLAN_INTERVAL_MS = 300;
+const MAX_ORDERS_PER_STEP = 4;
 /** From a change at an engine until the list of engines shows it, ms. */
-const NEWS_MS = 100;
+const LISTING_DELAY_MS = 100;
 /** From a crash until the list lacks the engine, ms. */
-const CRASH_NEWS_MS = 2500;
+const CRASH_LISTING_DELAY_MS = 2500;
 /** How often an engine that changes looks whether its runs have ended, ms. */
-const DRAIN_MS = 20;
+const DRAIN_POLL_MS = 20;
 
 /** Engines and what decides are up for so long before the first request, ms. */
-export const LEAD_MS = 8000;
+export const WARM_UP_MS = 8000;
 
 /** Engines of each stage at an instant. */
 export interface StageCount {
@@ -44,7 +44,7 @@
   readonly stages: StageCount[] = [];
   changes = 0;
   /** Most runs of an engine that the scheduler did not count. */
-  mostUncountedRuns = 0;
+  maxUncountedRuns = 0;
   private readonly demand = new StageDemand();
   private readonly changing = new Map<string, Stage>();
   private readonly changedAt = { prefill: -Infinity, decode: -Infinity };
@@ -55,7 +55,7 @@
     private readonly load: Load,
     private readonly clock: VirtualClock,
     /** Gets the answers of requests that waited. */
-    private readonly onSettled: (settled: QueuedAnswer) => void,
+    private readonly onQueuedAnswer: (settled: QueuedAnswer) => void,
   ) {
     const { count, prefillShare, slowness } = load.engines;
     const readers = Math.max(1, Math.round(count * prefillShare));
@@ -66,11 +66,13 @@
         new EngineModel(`engine-${at}`, stage, load.engines, slow),
       );
     }
-    this.list();
-    this.every(SETTLE_MS, () => this.settle());
-    this.every(STEP_MS, () => this.step());
+    this.updateListing();
+    this.every(QUEUE_INTERVAL_MS, () => this.answerQueued());
+    this.every(PLAN_INTERVAL_MS, () => this.planStep());
     for (const fault of load.faults) {
-      clock.after(LEAD_MS + fault.atS * MS, () => this.strike(fault));
+      clock.after(WARM_UP_MS + fault.atS * MS_PER_SECOND, () =>
+        this.injectFault(fault),
+      );
     }
   }
 
@@ -81,14 +83,14 @@
   private every(periodMs: number, act: () => void): void {
     const again = (): void => {
       act();
-      if (this.clock.now < LEAD_MS + this.load.seconds * MS) {
+      if (this.clock.now < WARM_UP_MS + this.load.seconds * MS_PER_SECOND) {
         this.clock.after(periodMs, again);
       }
     };
     this.clock.after(periodMs, again);
   }
 
-  private list(): void {
+  private updateListing(): void {
     const { slots, kvCapacityTokens } = this.load.engines;
     this.scheduler.setEngines(
       this.engines
@@ -103,34 +105,38 @@
     );
   }
 
-  private settle(): void {
+  private answerQueued(): void {
     for (const settled of this.scheduler.answerQueued(this.clock.now)) {
-      this.onSettled(settled);
+      this.onQueuedAnswer(settled);
     }
   }
 
-  private step(): void {
+  private planStep(): void {
     const { scheduler, clock, demand } = this;
     const { now } = clock;
     scheduler.expire(now);
     this.compareRuns();
     demand.measure(scheduler.demandTotals, scheduler.engineStates(), now);
-    for (let orders = 0; orders < ORDERS_AT_ONCE; orders += 1) {
+    for (let orders = 0; orders < MAX_ORDERS_PER_STEP; orders += 1) {
       const change = this.plan(now);
       if (change === undefined) break;
       this.order(change);
     }
     const count = (stage: Stage) =>
-      this.engines.filter((item) => item.takesWork && item.stage === stage)
+      this.engines.filter((item) => item.acceptsWork && item.stage === stage)
         .length;
     const prefill = count("prefill");
-    this.stages.push({ atMs: now - LEAD_MS, prefill, decode: count("decode") });
+    this.stages.push({
+      atMs: now - WARM_UP_MS,
+      prefill,
+      decode: count("decode"),
+    });
   }
 
   private compareRuns(): void {
     for (const { view, runCount } of this.scheduler.engineStates()) {
       const uncounted = (this.engine(view.id)?.runs ?? 0) - runCount;
-      this.mostUncountedRuns = Math.max(this.mostUncountedRuns, uncounted);
+      this.maxUncountedRuns = Math.max(this.maxUncountedRuns, uncounted);
     }
   }
 
@@ -160,44 +166,46 @@
     this.changedAt[to] = this.clock.now;
     this.scheduler.suspendEngine(id, Infinity);
     engine.changingTo = to;
-    this.finishChange(engine, to);
+    this.drainThenChange(engine, to);
   }
 
-  private finishChange(engine: EngineModel, to: Stage): void {
-    const { life } = engine;
+  private drainThenChange(engine: EngineModel, to: Stage): void {
+    const { incarnation } = engine;
     const look = (): void => {
-      if (engine.life !== life) return;
-      if (engine.runs > 0) return this.clock.after(DRAIN_MS, look);
+      if (engine.incarnation !== incarnation) return;
+      if (engine.runs > 0) return this.clock.after(DRAIN_POLL_MS, look);
       this.clock.after(this.load.engines.changeMs, () => {
-        if (engine.life === life) this.changed(engine, to);
+        if (engine.incarnation === incarnation)
+          this.finishStageChange(engine, to);
       });
     };
     look();
   }
 
-  private changed(engine: EngineModel, to: Stage): void {
+  private finishStageChange(engine: EngineModel, to: Stage): void {
     engine.stage = to;
     engine.changingTo = undefined;
-    this.clock.after(NEWS_MS, () => {
+    this.clock.after(LISTING_DELAY_MS, () => {
       this.changing.delete(engine.id);
       this.scheduler.suspendEngine(engine.id, 0);
-      this.list();
+      this.updateListing();
     });
   }
 
-  private strike(fault: Fault): void {
+  private injectFault(fault: Fault): void {
     const struck = this.engines
       .filter((item) => !item.isDown && item.stage === fault.stage)
       .slice(0, fault.engines);
     for (const engine of struck) {
-      if (fault.kind === "crash") this.crash(engine, fault.forS * MS);
-      else this.slow(engine, fault.times, fault.forS * MS);
+      if (fault.kind === "crash")
+        this.crash(engine, fault.forS * MS_PER_SECOND);
+      else this.slow(engine, fault.times, fault.forS * MS_PER_SECOND);
     }
   }
 
   private slow(engine: EngineModel, times: number, forMs: number): void {
-    engine.slowTimes = times;
-    this.clock.after(forMs, () => (engine.slowTimes = 1));
+    engine.slowdown = times;
+    this.clock.after(forMs, () => (engine.slowdown = 1));
   }
 
   private crash(engine: EngineModel, forMs: number): void {
@@ -207,14 +215,14 @@
     const unlist = () => {
       if (!engine.isDown) return;
       this.unlisted.add(engine.id);
-      this.list();
+      this.updateListing();
     };
-    this.clock.after(CRASH_NEWS_MS, unlist);
+    this.clock.after(CRASH_LISTING_DELAY_MS, unlist);
     this.clock.after(forMs, () => {
       engine.isDown = false;
-      this.clock.after(NEWS_MS, () => {
+      this.clock.after(LISTING_DELAY_MS, () => {
         this.unlisted.delete(engine.id);
-        this.list();
+        this.updateListing();
       });
     });
   }
--- a/bench/player/load.ts
+++ b/bench/player/load.ts
@@ -96,12 +96,12 @@
   promptTokens: number;
   events: number;
   /** The caller's estimate of `events`. */
-  guessedEvents: number;
+  estimatedEvents: number;
   /** The kind's maximum, or the estimate where the kind has none. */
-  mostEvents: number;
+  maxEvents: number;
 }
 
-const MS = 1000;
+const MS_PER_SECOND = 1000;
 /** Sizes are spread by up to this factor either way. */
 const SIZE_SPREAD = 2.2;
 
@@ -122,12 +122,12 @@
 const drawEvents = (kind: Kind, rng: Rng) => {
   const eventLimit = kind.mostEvents ?? Infinity;
   const events = Math.min(eventLimit, spreadAround(kind.events, rng));
-  const guessedEvents =
+  const estimatedEvents =
     kind.guessSpread === 1
       ? events
       : Math.min(eventLimit, spreadAround(events, rng, kind.guessSpread));
-  const mostEvents = kind.mostEvents ?? guessedEvents;
-  return { events, guessedEvents, mostEvents };
+  const maxEvents = kind.mostEvents ?? estimatedEvents;
+  return { events, estimatedEvents, maxEvents };
 };
 
 const drawOne = (kind: Kind, at: number, id: number, rng: Rng) => {
@@ -147,9 +147,9 @@
   for (const kind of load.kinds) {
     let at = 0;
     for (;;) {
-      const rate = rateAt(kind, at / MS);
-      at += (-Math.log(1 - rng()) / rate) * MS;
-      if (at >= load.seconds * MS) break;
+      const rate = rateAt(kind, at / MS_PER_SECOND);
+      at += (-Math.log(1 - rng()) / rate) * MS_PER_SECOND;
+      if (at >= load.seconds * MS_PER_SECOND) break;
       drawn.push(drawOne(kind, at, drawn.length, rng));
     }
   }
--- a/bench/player/main.ts
+++ b/bench/player/main.ts
@@ -11,13 +11,13 @@
 import { readLoad } from "./load.js";
 import { Play } from "./play.js";
 import { addTallies, servedBySize } from "./tally.js";
-import type { Played } from "./play.js";
+import type { PlayResult } from "./play.js";
 
 const EXIT_USAGE = 2;
 const DEFAULT_SEEDS = "1,2,3";
-const MS = 1000;
+const MS_PER_SECOND = 1000;
 /** Counts of stages that are shown: one of so many, 3 s apart. */
-const SHOWN_STEP = 10;
+const STAGE_SAMPLE_STEP = 10;
 
 interface Flags {
   seeds: string;
@@ -27,7 +27,7 @@
 const share = (part: number, all: number): string =>
   all === 0 ? "-" : ((100 * part) / all).toFixed(1);
 
-const kindRow = (name: string, plays: readonly Played[]): string[] => {
+const kindRow = (name: string, plays: readonly PlayResult[]): string[] => {
   const all = plays.flatMap(({ tallies }) => tallies.get(name) ?? []);
   const tally = addTallies(all);
   const { asked, inTime, late, refused, failed, inVain, firstMs } = tally;
@@ -41,7 +41,7 @@
   return [name, String(asked), ...shares, ...bySize, ...latencies];
 };
 
-const kindTable = (plays: readonly Played[]): string => {
+const kindTable = (plays: readonly PlayResult[]): string => {
   const head = [
     ...["kind", "asked", "in time %", "late %", "refused %", "failed %"],
     ...["in vain %", "large served %", "largest served %"],
@@ -54,11 +54,11 @@
   return table.toString();
 };
 
-const stageLine = ({ stages }: Played): string =>
+const stageLine = ({ stages }: PlayResult): string =>
   stages
-    .filter((_, at) => at % SHOWN_STEP === 0)
+    .filter((_, at) => at % STAGE_SAMPLE_STEP === 0)
     .map(({ atMs, prefill, decode }) => {
-      return `${(atMs / MS).toFixed(0)}s ${prefill}/${decode}`;
+      return `${(atMs / MS_PER_SECOND).toFixed(0)}s ${prefill}/${decode}`;
     })
     .join("  ");
 
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -22,14 +22,14 @@
   draft: "/draft/a",
 };
 /** Beyond the deadline, before a caller gives up, ms. */
-const PATIENCE_MS = 1000;
+const TIMEOUT_MARGIN_MS = 1000;
 /** Pause of a caller between two requests, ms. */
-const PAUSE_MS = 15;
+const MAX_PAUSE_MS = 15;
 /** Pause where no entry can be reached, ms. */
-const NOBODY_MS = 100;
-const PROBE_PAUSE_MS = 120;
+const NO_ENTRY_RETRY_MS = 100;
+const PROBE_INTERVAL_MS = 120;
 const EVENT_ID = /^id: (\d+)$/gm;
-const CONNECTIONS_A_CALLER = 1;
+const CONNECTIONS_PER_CALLER = 1;
 
 /** What came back of one request. */
 interface Answer {
@@ -52,7 +52,7 @@
 const pause = (ms: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, ms));
 
-const exchange = (
+const sendRequest = (
   agent: http.Agent,
   address: string,
   target: string,
@@ -66,7 +66,10 @@
       ...options,
       headers: { ...headers, "Content-Length": "0" },
     });
-    const timer = setTimeout(() => req.destroy(), DEADLINE_MS + PATIENCE_MS);
+    const timer = setTimeout(
+      () => req.destroy(),
+      DEADLINE_MS + TIMEOUT_MARGIN_MS,
+    );
     const end = (answer: Answer) => {
       clearTimeout(timer);
       resolve(answer);
@@ -100,7 +103,7 @@
 export class SoakCaller {
   private readonly agent = new http.Agent({
     keepAlive: true,
-    maxSockets: CONNECTIONS_A_CALLER,
+    maxSockets: CONNECTIONS_PER_CALLER,
   });
   private sequence = 0;
 
@@ -113,16 +116,16 @@
   /** Sends requests one after the other until it is over. */
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
-      const reachable = this.fleet.entries.filter((item) => item.callers);
+      const reachable = this.fleet.entries.filter((item) => item.callerAddress);
       const entry = drawOne(reachable, this.rng);
-      if (entry?.callers === undefined) await pause(NOBODY_MS);
-      else await this.call(entry, entry.callers);
-      await pause(PAUSE_MS * this.rng());
+      if (entry?.callerAddress === undefined) await pause(NO_ENTRY_RETRY_MS);
+      else await this.sendOne(entry, entry.callerAddress);
+      await pause(MAX_PAUSE_MS * this.rng());
     }
     this.agent.destroy();
   }
 
-  private async call(entry: DaemonProcess, address: string): Promise<void> {
+  private async sendOne(entry: DaemonProcess, address: string): Promise<void> {
     const { now, records } = this.fleet;
     this.sequence += 1;
     const id = `${this.name}-${this.sequence}`;
@@ -136,7 +139,7 @@
     const { life } = entry;
     const sentAt = now();
     const target = PATHS[kind];
-    const answer = await exchange(this.agent, address, target, headers, now);
+    const answer = await sendRequest(this.agent, address, target, headers, now);
     const { status, headAt, isWhole, body } = answer;
     const names = answerNames(answer.headers);
     records.calls.push({
@@ -158,41 +161,51 @@
 }
 
 /** Asks each entry for routes that configurations have added. */
-export const probe = async (
+export const probeAddedRoutes = async (
   fleet: SoakFleet,
   rng: Rng,
   isOver: () => boolean,
 ): Promise<void> => {
   const agent = new http.Agent({ keepAlive: true });
   for (let count = 0; !isOver(); count += 1) {
-    await pause(PROBE_PAUSE_MS);
-    const entries = fleet.entries.filter((item) => item.isUp && item.callers);
-    const asked = entries.map(async ({ id: entry, life, callers = "" }) => {
-      const newest = rng() < 0.5;
-      const version = newest
-        ? fleet.version
-        : 1 + Math.floor(rng() * fleet.version);
-      const sentAt = fleet.now();
-      const id = `probe-${entry}-${count}`;
-      const headers = callHeaders(id, DEADLINE_MS);
-      const target = `${addedPrefix(version)}a`;
-      const { now } = fleet;
-      const answer = await exchange(agent, callers, target, headers, now);
-      const { status, headAt } = answer;
-      const { signedBy } = answerNames(answer.headers);
-      const endedAt = now();
-      fleet.records.probes.push({
-        id,
-        entry,
-        life,
-        version,
-        sentAt,
-        headAt,
-        endedAt,
-        status,
-        signedBy,
-      });
-    });
+    await pause(PROBE_INTERVAL_MS);
+    const entries = fleet.entries.filter(
+      (item) => item.isUp && item.callerAddress,
+    );
+    const asked = entries.map(
+      async ({ id: entry, life, callerAddress = "" }) => {
+        const newest = rng() < 0.5;
+        const version = newest
+          ? fleet.version
+          : 1 + Math.floor(rng() * fleet.version);
+        const sentAt = fleet.now();
+        const id = `probe-${entry}-${count}`;
+        const headers = callHeaders(id, DEADLINE_MS);
+        const target = `${addedPrefix(version)}a`;
+        const { now } = fleet;
+        const answer = await sendRequest(
+          agent,
+          callerAddress,
+          target,
+          headers,
+          now,
+        );
+        const { status, headAt } = answer;
+        const { signedBy } = answerNames(answer.headers);
+        const endedAt = now();
+        fleet.records.probes.push({
+          id,
+          entry,
+          life,
+          version,
+          sentAt,
+          headAt,
+          endedAt,
+          status,
+          signedBy,
+        });
+      },
+    );
     await Promise.all(asked);
   }
   agent.destroy();
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -3,10 +3,10 @@
  * in, violations out.
  */
 import { SIGNAL_CHECKS } from "./signalChecks.js";
-import { IS_STREAM, MAY_RUN_AGAIN } from "./types.js";
+import { IS_STREAM, IS_RETRYABLE } from "./types.js";
 import type {
   CallRecord,
-  NewsRecord,
+  ChangeRecord,
   SoakRecords,
   Violation,
 } from "./types.js";
@@ -19,12 +19,12 @@
 const CALM_BEFORE_MS = 3000;
 /** Bound on news that every process must know, ms, with slack for a busy
  * machine. */
-const NEWS_BOUND_MS = 4000;
+const MAX_PROPAGATION_MS = 4000;
 /** Share and stock of further sends, as in the settings of the processes. */
-const RETRY_RATIO = 0.2;
+const RETRY_BUDGET_RATIO = 0.2;
 const RETRY_BURST = 64;
 /** Statuses that say that nothing ran and nothing will. */
-const PROMISES_NOT_RUN: readonly number[] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
 
 type Check = (records: SoakRecords) => Violation[];
 
@@ -47,7 +47,7 @@
     (fault) => fault.isPlanned || fault.until < from || fault.from > until,
   );
 
-const wholeAnswers: Check = ({ calls }) =>
+const answersAreComplete: Check = ({ calls }) =>
   calls.filter(isSuccess).flatMap((call) => {
     const { id, kind, events } = call;
     const faults: string[] = [];
@@ -71,7 +71,7 @@
 const atMostOnce: Check = ({ calls, runs }) => {
   const byRequest = groupBy(runs, (run) => run.requestId);
   return calls
-    .filter((call) => !MAY_RUN_AGAIN[call.kind])
+    .filter((call) => !IS_RETRYABLE[call.kind])
     .flatMap(({ id, kind }) => {
       const ran = byRequest.get(id) ?? [];
       if (ran.length <= 1) return [];
@@ -81,12 +81,12 @@
     });
 };
 
-const notRunIsTrue: Check = ({ calls, runs }) => {
+const notRunAnswersHold: Check = ({ calls, runs }) => {
   const ran = new Set(runs.map((run) => run.requestId));
   return calls
-    .filter((call) => !MAY_RUN_AGAIN[call.kind])
+    .filter((call) => !IS_RETRYABLE[call.kind])
     .filter(
-      ({ status, id }) => PROMISES_NOT_RUN.includes(status) && ran.has(id),
+      ({ status, id }) => NOT_RUN_STATUSES.includes(status) && ran.has(id),
     )
     .map(({ id, kind, status }) => ({
       promise: "not run is true",
@@ -94,7 +94,7 @@
     }));
 };
 
-const onlyAsked: Check = ({ calls, probes, runs }) => {
+const onlySentRequestsRun: Check = ({ calls, probes, runs }) => {
   const asked = new Set([...calls, ...probes].map((item) => item.id));
   return runs
     .filter((run) => !asked.has(run.requestId))
@@ -104,7 +104,7 @@
     }));
 };
 
-const neverBack: Check = ({ probes }) => {
+const configNeverGoesBack: Check = ({ probes }) => {
   const violations: Violation[] = [];
   const lives = groupBy(probes, ({ entry, life }) => `${entry}/${life}`);
   for (const [life, asked] of lives) {
@@ -125,15 +125,20 @@
   return violations;
 };
 
-const lateNews = (records: SoakRecords, news: NewsRecord, at: number) =>
-  at > news.at + NEWS_BOUND_MS && isCalm(records, news.at - CALM_BEFORE_MS, at);
+const isPropagationOverdue = (
+  records: SoakRecords,
+  news: ChangeRecord,
+  at: number,
+) =>
+  at > news.at + MAX_PROPAGATION_MS &&
+  isCalm(records, news.at - CALM_BEFORE_MS, at);
 
-const newsInForce: Check = (records) => {
+const changesTakeEffect: Check = (records) => {
   const violations: Violation[] = [];
   for (const news of records.news) {
     if (news.kind === "configuration") {
       for (const { version, sentAt, status, entry } of records.probes) {
-        const isLate = lateNews(records, news, sentAt);
+        const isLate = isPropagationOverdue(records, news, sentAt);
         if (String(version) !== news.subject || !isLate) continue;
         if (status !== 404) continue;
         const what = `${entry} did not know ${version} in time`;
@@ -142,7 +147,7 @@
     } else {
       for (const { replica, at, requestId } of records.runs) {
         if (replica !== news.subject) continue;
-        if (!lateNews(records, news, at)) continue;
+        if (!isPropagationOverdue(records, news, at)) continue;
         const what = `${replica} is leaving and got ${requestId}`;
         violations.push({ promise: "no work for leaving replicas", what });
       }
@@ -157,7 +162,7 @@
     0,
   );
   const requests = calls.length + probes.length;
-  const most = requests * RETRY_RATIO + RETRY_BURST;
+  const most = requests * RETRY_BUDGET_RATIO + RETRY_BURST;
   if (further <= most) return [];
   const what = `${further} further sends for ${requests} requests`;
   return [{ promise: "bounded retries", what }];
@@ -187,7 +192,7 @@
     });
 };
 
-const oneHolder: Check = ({ orders }) => {
+const fencesHaveOneHolder: Check = ({ orders }) => {
   const violations: Violation[] = [];
   for (const [replica, taken] of groupBy(orders, (order) => order.replica)) {
     const holders = new Map<number, string>();
@@ -207,15 +212,15 @@
 };
 
 const CHECKS: readonly Check[] = [
-  wholeAnswers,
+  answersAreComplete,
   atMostOnce,
-  notRunIsTrue,
-  onlyAsked,
-  neverBack,
-  newsInForce,
+  notRunAnswersHold,
+  onlySentRequestsRun,
+  configNeverGoesBack,
+  changesTakeEffect,
   boundedRetries,
   plannedStopCutsNothing,
-  oneHolder,
+  fencesHaveOneHolder,
   ...SIGNAL_CHECKS,
 ];
 
--- a/soak/daemonProcess.ts
+++ b/soak/daemonProcess.ts
@@ -12,9 +12,9 @@
 import type { MachineSettings } from "../platform/standins/settingsFile.js";
 import { DIST } from "../tests/support/processes.js";
 
-const SCRIPT = path.join(DIST, "platform/main.js");
+const DAEMON_SCRIPT = path.join(DIST, "platform/main.js");
 /** Lines that are kept of each process for whoever looks into a failure. */
-const KEPT_LINES = 20_000;
+const MAX_LOG_LINES = 20_000;
 
 /** What a process logs when it serves. */
 interface StartedLine {
@@ -26,10 +26,10 @@
   /** Counts its starts. */
   life = 0;
   /** Where callers reach it; undefined while it is not up. */
-  callers: string | undefined;
-  readonly lines: string[] = [];
+  callerAddress: string | undefined;
+  readonly logLines: string[] = [];
   private child: ChildProcess | undefined;
-  private ended: Promise<void> = Promise.resolve();
+  private exited: Promise<void> = Promise.resolve();
   isPaused = false;
 
   constructor(
@@ -47,33 +47,33 @@
 
   /** Resolves when it serves. */
   async start(): Promise<void> {
-    await this.ended;
+    await this.exited;
     const file = path.join(this.folder, `${this.id}.yaml`);
     writeFileSync(file, settingsText(this.machine));
-    const child = spawn(process.execPath, [SCRIPT], {
+    const child = spawn(process.execPath, [DAEMON_SCRIPT], {
       env: { PATH: process.env.PATH, ...settingsEnvironment(file) },
       stdio: ["ignore", "pipe", "pipe"],
     });
     this.child = child;
     this.life += 1;
-    this.ended = new Promise((resolve) =>
+    this.exited = new Promise((resolve) =>
       child.on("close", () => {
         this.child = undefined;
-        this.callers = undefined;
+        this.callerAddress = undefined;
         resolve();
       }),
     );
-    child.stderr?.on("data", (text: Buffer) => this.keep(text.toString()));
+    child.stderr?.on("data", (text: Buffer) => this.appendLog(text.toString()));
     const started = new Promise<void>((resolve) => {
       createInterface({ input: child.stdout! }).on("line", (line) => {
-        this.keep(line);
+        this.appendLog(line);
         const { message, callers } = JSON.parse(line) as StartedLine;
         if (message !== "started") return;
-        this.callers = callers;
+        this.callerAddress = callers;
         resolve();
       });
     });
-    await Promise.race([started, this.ended]);
+    await Promise.race([started, this.exited]);
   }
 
   signal(name: NodeJS.Signals): void {
@@ -85,18 +85,18 @@
   /** Sends SIGTERM and resolves when it has ended. */
   async stop(): Promise<void> {
     this.signal("SIGTERM");
-    await this.ended;
+    await this.exited;
   }
 
   /** Sends SIGKILL and resolves when it has ended. */
   async kill(): Promise<void> {
     this.signal("SIGCONT");
     this.signal("SIGKILL");
-    await this.ended;
+    await this.exited;
   }
 
-  private keep(line: string): void {
-    this.lines.push(line);
-    if (this.lines.length > KEPT_LINES) this.lines.shift();
+  private appendLog(line: string): void {
+    this.logLines.push(line);
+    if (this.logLines.length > MAX_LOG_LINES) this.logLines.shift();
   }
 }
--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -9,14 +9,14 @@
 import type { FaultRecord } from "./types.js";
 
 /** What a fault needs while it lasts. */
-interface Strike {
+interface FaultContext {
   fleet: SoakFleet;
   rng: Rng;
   /** Resolves after a time drawn between two bounds, ms. */
-  last(leastMs: number, mostMs: number): Promise<void>;
+  wait(minMs: number, maxMs: number): Promise<void>;
   draw<T>(items: readonly T[]): T | undefined;
   /** Adds to the record of the fault which variant it is. */
-  note(variant: string): void;
+  setVariant(variant: string): void;
 }
 
 /** One kind of harm; nothing to strike: `target` is undefined. */
@@ -24,11 +24,11 @@
   name: string;
   /** Planned work must cut nothing. */
   isPlanned: boolean;
-  target(strike: Strike): T | undefined;
+  target(strike: FaultContext): T | undefined;
   /** Names the target; two faults never strike the same one at once. */
   nameOf(target: T): string;
   /** Does harm, waits, and heals. */
-  run(target: T, strike: Strike): Promise<void>;
+  run(target: T, strike: FaultContext): Promise<void>;
 }
 
 /** Hides the type of the target, so that faults stand in one list. */
@@ -36,11 +36,11 @@
   name: string;
   isPlanned: boolean;
   prepare(
-    strike: Strike,
+    strike: FaultContext,
   ): { target: string; run: () => Promise<void> } | undefined;
 }
 
-const fault = <T>(one: Fault<T>): AnyFault => ({
+const defineFault = <T>(one: Fault<T>): AnyFault => ({
   name: one.name,
   isPlanned: one.isPlanned,
   prepare: (strike) => {
@@ -53,7 +53,7 @@
   },
 });
 
-const HARMFUL_MODES = LINK_MODES.filter((mode) => mode !== "pass");
+const FAULT_MODES = LINK_MODES.filter((mode) => mode !== "pass");
 const STORE_MODES: readonly StoreMode[] = ["busy", "silent", "lost"];
 const MISBEHAVIOURS: readonly Behaviour[] = [
   "refuse",
@@ -71,63 +71,63 @@
 const LINK_DELAY_MS = 200;
 const MISBEHAVING_SHARE = 0.4;
 /** A leaving replica serves on for this long, ms, and a little longer. */
-const LEAVE_MS = 4500;
+const LEAVING_MS = 4500;
 
-const ofProcess = ({ id }: DaemonProcess): string => id;
-const ofReplica = ({ standin }: SoakReplica): string => standin.options.id;
-const anyProcess = ({ fleet, draw }: Strike) => draw(fleet.processes);
-const anyReplica = ({ fleet, draw }: Strike) => draw(fleet.replicas);
+const processId = ({ id }: DaemonProcess): string => id;
+const replicaId = ({ standin }: SoakReplica): string => standin.options.id;
+const anyProcess = ({ fleet, draw }: FaultContext) => draw(fleet.processes);
+const anyReplica = ({ fleet, draw }: FaultContext) => draw(fleet.replicas);
 
 const processFault = (
   name: string,
-  run: (target: DaemonProcess, strike: Strike) => Promise<void>,
+  run: (target: DaemonProcess, strike: FaultContext) => Promise<void>,
 ): AnyFault =>
-  fault({
+  defineFault({
     name,
     isPlanned: false,
     target: anyProcess,
-    nameOf: ofProcess,
+    nameOf: processId,
     run,
   });
 
 const PLANNED: readonly AnyFault[] = [
-  fault({
+  defineFault({
     name: "process stopped",
     isPlanned: true,
     target: anyProcess,
-    nameOf: ofProcess,
+    nameOf: processId,
     run: async (target) => {
       await target.stop();
       await target.start();
     },
   }),
-  fault({
+  defineFault({
     name: "settings changed",
     isPlanned: true,
     target: anyProcess,
-    nameOf: ofProcess,
+    nameOf: processId,
     run: async (target) => target.signal("SIGHUP"),
   }),
-  fault({
+  defineFault({
     name: "configuration changed",
     isPlanned: true,
     target: () => "configuration",
     nameOf: (name) => name,
     run: async (_target, { fleet }) => fleet.changeConfig(),
   }),
-  fault({
+  defineFault({
     name: "replica replaced",
     isPlanned: true,
     target: anyReplica,
-    nameOf: ofReplica,
-    run: async (target, { fleet, last }) => {
+    nameOf: replicaId,
+    run: async (target, { fleet, wait }) => {
       const { now, records } = fleet;
-      const subject = ofReplica(target);
-      await fleet.addReplica(target.place);
+      const subject = replicaId(target);
+      await fleet.addReplica(target.baseId);
       target.standin.isLeaving = true;
-      fleet.relist(target, "draining");
+      fleet.register(target, "draining");
       records.news.push({ kind: "leaving", subject, at: now() });
-      await last(LEAVE_MS, LEAVE_MS);
+      await wait(LEAVING_MS, LEAVING_MS);
       fleet.unlist(target);
       fleet.removeReplica(target);
     },
@@ -135,90 +135,93 @@
 ];
 
 const UNPLANNED: readonly AnyFault[] = [
-  processFault("process killed", async (target, { last }) => {
+  processFault("process killed", async (target, { wait }) => {
     await target.kill();
-    await last(100, 1500);
+    await wait(100, 1500);
     await target.start();
   }),
-  processFault("process paused", async (target, { last }) => {
+  processFault("process paused", async (target, { wait }) => {
     target.signal("SIGSTOP");
-    await last(200, 4000);
+    await wait(200, 4000);
     target.signal("SIGCONT");
   }),
-  processFault("store link", async ({ id }, { fleet, draw, last, note }) => {
-    const mode = draw(HARMFUL_MODES) ?? "cut";
-    note(mode);
-    fleet.storeLinks.get(id)?.set({ mode, delayMs: LINK_DELAY_MS });
-    await last(300, 3500);
-    fleet.storeLinks.get(id)?.set({ mode: "pass" });
-  }),
-  fault({
+  processFault(
+    "store link",
+    async ({ id }, { fleet, draw, wait, setVariant }) => {
+      const mode = draw(FAULT_MODES) ?? "cut";
+      setVariant(mode);
+      fleet.storeLinks.get(id)?.set({ mode, delayMs: LINK_DELAY_MS });
+      await wait(300, 3500);
+      fleet.storeLinks.get(id)?.set({ mode: "pass" });
+    },
+  ),
+  defineFault({
     name: "replica link",
     isPlanned: false,
     target: anyReplica,
-    nameOf: ofReplica,
-    run: async ({ link }, { draw, last, note }) => {
-      const mode = draw(HARMFUL_MODES) ?? "cut";
-      note(mode);
+    nameOf: replicaId,
+    run: async ({ link }, { draw, wait, setVariant }) => {
+      const mode = draw(FAULT_MODES) ?? "cut";
+      setVariant(mode);
       link.set({ mode, delayMs: LINK_DELAY_MS });
-      await last(200, 2500);
+      await wait(200, 2500);
       link.set({ mode: "pass" });
     },
   }),
-  fault({
+  defineFault({
     name: "replica misbehaves",
     isPlanned: false,
     target: anyReplica,
-    nameOf: ofReplica,
-    run: async (target, { draw, last, note }) => {
+    nameOf: replicaId,
+    run: async (target, { draw, wait, setVariant }) => {
       const behaviour = draw(MISBEHAVIOURS) ?? "fail";
-      note(behaviour);
+      setVariant(behaviour);
       target.misbehaviour = { behaviour, share: MISBEHAVING_SHARE };
-      await last(300, 3000);
+      await wait(300, 3000);
       target.misbehaviour = undefined;
     },
   }),
-  fault({
+  defineFault({
     name: "replica crashed",
     isPlanned: false,
     target: anyReplica,
-    nameOf: ofReplica,
-    run: async (target, { fleet, last }) => {
+    nameOf: replicaId,
+    run: async (target, { fleet, wait }) => {
       fleet.removeReplica(target);
-      await last(100, 2000);
+      await wait(100, 2000);
       fleet.unlist(target);
-      await fleet.addReplica(target.place);
+      await fleet.addReplica(target.baseId);
     },
   }),
-  fault({
+  defineFault({
     name: "store in trouble",
     isPlanned: false,
     target: () => "store",
     nameOf: (name) => name,
-    run: async (_target, { fleet, draw, last, note }) => {
+    run: async (_target, { fleet, draw, wait, setVariant }) => {
       const mode = draw(STORE_MODES) ?? "busy";
-      note(mode);
+      setVariant(mode);
       fleet.store.mode = mode;
-      await last(300, 3500);
+      await wait(300, 3500);
       fleet.store.mode = "up";
     },
   }),
-  fault({
+  defineFault({
     name: "entries lapse in an outage",
     isPlanned: false,
     target: () => "store",
     nameOf: (name) => name,
-    run: async (_target, { fleet, rng, last }) => {
+    run: async (_target, { fleet, rng, wait }) => {
       fleet.store.mode = "silent";
-      await last(800, 2000);
+      await wait(800, 2000);
       const lapsed = fleet.replicas.filter(() => rng() < 0.5);
       for (const replica of lapsed) fleet.unlist(replica);
       fleet.store.mode = "up";
-      await last(100, 1500);
-      for (const replica of lapsed) fleet.relist(replica);
+      await wait(100, 1500);
+      for (const replica of lapsed) fleet.register(replica);
     },
   }),
-  fault({
+  defineFault({
     name: "history forgotten",
     isPlanned: false,
     target: () => "store",
@@ -229,54 +232,54 @@
 
 /** What replicas say of themselves, and a store that forgets. */
 const SIGNALS: readonly AnyFault[] = [
-  fault({
+  defineFault({
     name: "replica asks for back-off",
     isPlanned: false,
     target: anyReplica,
-    nameOf: ofReplica,
-    run: async (target, { draw, last, note }) => {
+    nameOf: replicaId,
+    run: async (target, { draw, wait, setVariant }) => {
       const backOff = draw(BACK_OFFS) ?? "1";
-      note(backOff);
+      setVariant(backOff);
       target.standin.backOff = backOff;
       target.misbehaviour = { behaviour: "refuse", share: MISBEHAVING_SHARE };
-      await last(300, 3000);
+      await wait(300, 3000);
       target.misbehaviour = undefined;
     },
   }),
-  fault({
+  defineFault({
     name: "replica leaves while the store is away",
     isPlanned: false,
     target: anyReplica,
-    nameOf: ofReplica,
-    run: async (target, { fleet, last }) => {
-      const subject = ofReplica(target);
-      await fleet.addReplica(target.place);
+    nameOf: replicaId,
+    run: async (target, { fleet, wait }) => {
+      const subject = replicaId(target);
+      await fleet.addReplica(target.baseId);
       fleet.store.mode = "busy";
       target.standin.isLeaving = true;
       target.state = "draining";
-      await last(500, LEAVE_MS);
+      await wait(500, LEAVING_MS);
       fleet.store.mode = "up";
-      fleet.relist(target, "draining");
+      fleet.register(target, "draining");
       fleet.records.news.push({ kind: "leaving", subject, at: fleet.now() });
-      await last(LEAVE_MS, LEAVE_MS);
+      await wait(LEAVING_MS, LEAVING_MS);
       fleet.unlist(target);
       fleet.removeReplica(target);
     },
   }),
-  fault({
+  defineFault({
     name: "store back from a copy",
     isPlanned: false,
     target: () => "store",
     nameOf: (name) => name,
-    run: async (_target, { fleet, last }) => {
+    run: async (_target, { fleet, wait }) => {
       const copy = fleet.store.copy();
-      await last(500, 4000);
+      await wait(500, 4000);
       fleet.store.mode = "silent";
-      await last(100, 1000);
+      await wait(100, 1000);
       fleet.store.comeBackFrom(copy);
       fleet.store.mode = "up";
-      await last(100, 1500);
-      fleet.writeAgain();
+      await wait(100, 1500);
+      fleet.rewriteStore();
     },
   }),
 ];
@@ -287,20 +290,20 @@
 const LIMIT_CHANGES = 3;
 
 const LIMITED: readonly AnyFault[] = [
-  fault({
+  defineFault({
     name: "replica names a limit",
     isPlanned: false,
     target: anyReplica,
-    nameOf: ofReplica,
-    run: async (target, { fleet, draw, last, note }) => {
+    nameOf: replicaId,
+    run: async (target, { fleet, draw, wait, setVariant }) => {
       const named = Array.from(
         { length: LIMIT_CHANGES },
         () => draw(LIMITS) ?? 1,
       );
-      note(named.join(" "));
+      setVariant(named.join(" "));
       for (const perS of named) {
         fleet.setLimit(target, perS);
-        await last(2500, 5000);
+        await wait(2500, 5000);
       }
       fleet.setLimit(target, undefined);
     },
@@ -325,7 +328,7 @@
 
 /** Strikes at times drawn from the seed until it is over; faults overlap. */
 export class FaultInjector {
-  private readonly struck = new Set<string>();
+  private readonly activeTargets = new Set<string>();
   private readonly running = new Set<Promise<void>>();
 
   constructor(
@@ -336,20 +339,19 @@
 
   async run(
     isOver: () => boolean,
-    pauseMs: { least: number; most: number },
+    pauseMs: { min: number; max: number },
   ): Promise<void> {
     while (!isOver()) {
-      await this.last(pauseMs.least, pauseMs.most);
-      this.strike();
+      await this.wait(pauseMs.min, pauseMs.max);
+      this.injectFault();
     }
     await Promise.all(this.running);
   }
 
-  private strike(): void {
+  private injectFault(): void {
     const { fleet, rng } = this;
     const draw = <T>(items: readonly T[]) => drawOne(items, rng);
-    const last = (leastMs: number, mostMs: number) =>
-      this.last(leastMs, mostMs);
+    const wait = (minMs: number, maxMs: number) => this.wait(minMs, maxMs);
     const chosen = draw(this.faults);
     const record: FaultRecord = {
       name: "",
@@ -359,25 +361,25 @@
       until: Infinity,
       isPlanned: false,
     };
-    const note = (variant: string) => void (record.variant = variant);
-    const prepared = chosen?.prepare({ fleet, rng, last, draw, note });
+    const setVariant = (variant: string) => void (record.variant = variant);
+    const prepared = chosen?.prepare({ fleet, rng, wait, draw, setVariant });
     if (chosen === undefined || prepared === undefined) return;
     const { target, run } = prepared;
-    if (this.struck.has(target)) return;
+    if (this.activeTargets.has(target)) return;
     const { name, isPlanned } = chosen;
     Object.assign(record, { name, target, isPlanned });
     fleet.records.faults.push(record);
-    this.struck.add(target);
+    this.activeTargets.add(target);
     const ended = run().finally(() => {
       record.until = fleet.now();
-      this.struck.delete(target);
+      this.activeTargets.delete(target);
       this.running.delete(ended);
     });
     this.running.add(ended);
   }
 
-  private last(leastMs: number, mostMs: number): Promise<void> {
-    const ms = leastMs + (mostMs - leastMs) * this.rng();
+  private wait(minMs: number, maxMs: number): Promise<void> {
+    const ms = minMs + (maxMs - minMs) * this.rng();
     return new Promise((resolve) => setTimeout(resolve, ms));
   }
 }
--- a/soak/fleet.ts
+++ b/soak/fleet.ts
@@ -30,7 +30,7 @@
   standin: StandinReplica;
   link: FaultLink;
   /** Place that incarnations take one after the other. */
-  place: string;
+  baseId: string;
   misbehaviour: { behaviour: Behaviour; share: number } | undefined;
   /** As its entry in the store says, or would say. */
   state: "ready" | "draining";
@@ -116,7 +116,7 @@
   }
 
   /** What the operator and the replicas wrote is written again. */
-  writeAgain(): void {
+  rewriteStore(): void {
     putConfig(this.store, this.version);
     const living = new Set(
       this.replicas.map(({ standin }) => standin.options.id),
@@ -124,15 +124,15 @@
     for (const name of this.store.names(KINDS.replicas)) {
       if (!living.has(name)) this.store.remove(KINDS.replicas, name);
     }
-    for (const replica of this.replicas) this.relist(replica);
+    for (const replica of this.replicas) this.register(replica);
   }
 
   /** A new incarnation at a place; `engine-…` are model engines. */
-  async addReplica(place: string): Promise<SoakReplica> {
+  async addReplica(baseId: string): Promise<SoakReplica> {
     this.incarnations += 1;
-    const isEngine = place.startsWith("engine");
+    const isEngine = baseId.startsWith("engine");
     const standin = await new StandinReplica({
-      id: `${place}.${this.incarnations}`,
+      id: `${baseId}.${this.incarnations}`,
       service: isEngine ? "model" : "plain",
       stage: isEngine ? "decode" : undefined,
       events: STREAM_EVENTS,
@@ -141,7 +141,7 @@
     const replica: SoakReplica = {
       standin,
       link,
-      place,
+      baseId,
       misbehaviour: undefined,
       state: "ready",
     };
@@ -154,15 +154,15 @@
       const { id } = standin.options;
       this.records.orders.push({ replica: id, holder, fence, at: this.now() });
       standin.options.stage = stage;
-      setTimeout(() => this.relist(replica), STAGE_CHANGE_MS);
+      setTimeout(() => this.register(replica), STAGE_CHANGE_MS);
     };
     this.replicas.push(replica);
-    this.relist(replica);
+    this.register(replica);
     return replica;
   }
 
   /** Writes a replica's entry, unless it is gone. */
-  relist(replica: SoakReplica, state = replica.state): void {
+  register(replica: SoakReplica, state = replica.state): void {
     replica.state = state;
     if (!this.replicas.includes(replica)) return;
     replica.standin.register(this.store, state, replica.link.address);
--- a/soak/runSoak.ts
+++ b/soak/runSoak.ts
@@ -1,7 +1,7 @@
 /** One run of the soak: a seed in, records and violations out. */
 import { monotonicNow } from "../src/daemon/clock.js";
 import { seededRng } from "../src/shared/rng.js";
-import { probe, SoakCaller } from "./callers.js";
+import { probeAddedRoutes, SoakCaller } from "./callers.js";
 import { findViolations } from "./checks.js";
 import { FaultInjector, faultsOf } from "./faults.js";
 import type { FaultProfile } from "./faults.js";
@@ -33,16 +33,16 @@
 }
 
 /** Pause between two faults, ms. */
-const FAULT_PAUSE = { least: 60, most: 500 };
+const FAULT_PAUSE = { min: 60, max: 500 };
 /** Calm traffic after the last fault, ms: what comes late is seen too. */
-const CALM_END_MS = 1500;
+const FINAL_QUIET_MS = 1500;
 const MS_PER_SECOND = 1000;
 /** Interval between checks for event loop stalls, ms. */
 const STALL_CHECK_MS = 20;
 /** Shortest gap between two checks that is recorded as a stall, ms. */
 const MIN_STALL_MS = 60;
 /** Keeps the seeds of the parts apart. */
-const SEED_STEP = 7919;
+const SEED_STRIDE = 7919;
 
 /** Records event loop stalls until the returned function is called. */
 const watchStalls = (stalls: StallRecord[]): (() => void) => {
@@ -58,7 +58,7 @@
 
 export const runSoak = async (options: SoakOptions): Promise<SoakResult> => {
   const { seed, seconds, profile } = options;
-  const rngOf = (part: number) => seededRng(seed * SEED_STEP + part);
+  const rngOf = (part: number) => seededRng(seed * SEED_STRIDE + part);
   const fleet = new SoakFleet(rngOf(0), monotonicNow);
   const onSignal = () => void fleet.stop().then(() => process.exit(1));
   process.once("SIGINT", onSignal).once("SIGTERM", onSignal);
@@ -71,9 +71,9 @@
     const traffic = Array.from({ length: options.callers }, (_item, at) =>
       new SoakCaller(`caller${at}`, fleet, rngOf(100 + at)).run(() => isOver),
     );
-    traffic.push(probe(fleet, rngOf(2), () => isOver));
+    traffic.push(probeAddedRoutes(fleet, rngOf(2), () => isOver));
     await injector.run(() => monotonicNow() > endsAt, FAULT_PAUSE);
-    await new Promise((resolve) => setTimeout(resolve, CALM_END_MS));
+    await new Promise((resolve) => setTimeout(resolve, FINAL_QUIET_MS));
     isOver = true;
     await Promise.all(traffic);
   } finally {
@@ -82,6 +82,6 @@
     stopWatching();
   }
   const { records } = fleet;
-  const logs = new Map(fleet.processes.map((item) => [item.id, item.lines]));
+  const logs = new Map(fleet.processes.map((item) => [item.id, item.logLines]));
   return { records, violations: findViolations(records), logs };
 };
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -16,31 +16,31 @@
 /** The users' bounds on limits. */
 const RATE_BOUNDS = { contactMs: 3000, windowMs: 4000 };
 /** What befell an entry or the way to a replica excuses it for this, ms. */
-const EXCUSED_MS = 3000;
+const FAULT_RECOVERY_MS = 3000;
 /** What an answer says binds the entry that it went through after this, ms. */
-const TOLD_MS = 500;
+const SIGNAL_DELAY_MS = 500;
 /** Requests of one entry within a back-off that was asked of it. */
-const MOST_IN_BACK_OFF = 2;
+const MAX_REQUESTS_IN_BACK_OFF = 2;
 /** A replica that says it leaves may still be sent to for this, ms. */
-const LEAVING_MS = 2000;
+const LEAVING_GRACE_MS = 2000;
 const MS_PER_SECOND = 1000;
 const SECONDS = /^\d+(\.\d+)?$/;
 
 /** An arrival, and the life of the entry that sent it. */
-interface Sent extends ArrivalRecord {
+interface SentRequest extends ArrivalRecord {
   entry: string;
   /** When its caller sent it. */
   askedAt: number;
 }
 
 /** By replica, in order of time; of no known caller: left out. */
-const sentTo = ({
+const requestsByReplica = ({
   arrivals,
   calls,
   probes,
-}: SoakRecords): Map<string, Sent[]> => {
+}: SoakRecords): Map<string, SentRequest[]> => {
   const callers = new Map([...calls, ...probes].map((item) => [item.id, item]));
-  const found = new Map<string, Sent[]>();
+  const found = new Map<string, SentRequest[]>();
   for (const arrival of arrivals) {
     const caller = callers.get(arrival.requestId);
     if (caller === undefined) continue;
@@ -53,7 +53,7 @@
 };
 
 /** Faults that excuse the process, or the way to the replica, that they strike. */
-const EXCUSES: readonly string[] = [
+const EXEMPTING_FAULTS: readonly string[] = [
   "process killed",
   "process paused",
   "process stopped",
@@ -61,17 +61,17 @@
 ];
 
 /** Whether the entry or the way to the replica was harmed shortly before. */
-const isExcused = (
+const isExempt = (
   { faults }: SoakRecords,
-  { entry, replica, at }: Sent,
+  { entry, replica, at }: SentRequest,
 ): boolean => {
   const struck = [entry.split("/")[0], replica];
   return faults.some(
     ({ name, target, from, until }) =>
       struck.includes(target) &&
-      EXCUSES.includes(name) &&
+      EXEMPTING_FAULTS.includes(name) &&
       from <= at &&
-      until + EXCUSED_MS >= at,
+      until + FAULT_RECOVERY_MS >= at,
   );
 };
 
@@ -101,9 +101,9 @@
  * By life of an entry: when a caller first received the headers of an answer
  * that the replica signed and that named a limit.
  */
-const firstForwarded = (
+const firstForwardedLimit = (
   { calls, probes, stalls }: SoakRecords,
-  sent: readonly Sent[],
+  sent: readonly SentRequest[],
 ): Map<string, number> => {
   const callers = new Map([...calls, ...probes].map((item) => [item.id, item]));
   const forwarded = new Map<string, number>();
@@ -118,8 +118,8 @@
 };
 
 /** When the first answer that said it left for each life of an entry. */
-const firstTold = (
-  sent: readonly Sent[],
+const firstSignalled = (
+  sent: readonly SentRequest[],
   says: (told: ToldSignals) => boolean,
 ): Map<string, number> => {
   const told = new Map<string, number>();
@@ -129,12 +129,12 @@
   return told;
 };
 
-const limitsKept: Check = (records) =>
-  [...sentTo(records)].flatMap(([replica, sent]) => {
+const limitsRespected: Check = (records) =>
+  [...requestsByReplica(records)].flatMap(([replica, sent]) => {
     const named = records.limits.filter((item) => item.replica === replica);
-    const told = firstForwarded(records, sent);
+    const told = firstForwardedLimit(records, sent);
     const arrivals = sent
-      .filter((item) => !isExcused(records, item))
+      .filter((item) => !isExempt(records, item))
       .map((item) => ({ ...item, at: earliestAt(records.stalls, item.at) }));
     const [first] = judgeRate({ arrivals, named, told }, RATE_BOUNDS);
     if (first === undefined) return [];
@@ -148,32 +148,32 @@
     ? Number(backOff) * MS_PER_SECOND
     : 0;
 
-const backOffsKept: Check = (records) =>
-  [...sentTo(records)].flatMap(([replica, sent]) =>
+const backOffsRespected: Check = (records) =>
+  [...requestsByReplica(records)].flatMap(([replica, sent]) =>
     sent.flatMap(({ entry, at, told }) => {
       const until = at + backOffMs(told);
       const within = sent.filter(
         (item) =>
           item.entry === entry &&
-          item.at >= at + TOLD_MS &&
+          item.at >= at + SIGNAL_DELAY_MS &&
           item.at < until &&
-          !isExcused(records, item),
+          !isExempt(records, item),
       );
-      if (within.length <= MOST_IN_BACK_OFF) return [];
+      if (within.length <= MAX_REQUESTS_IN_BACK_OFF) return [];
       const what = `${replica}: ${within.length} of ${entry} in a back-off`;
       return [{ promise: "back-offs are kept", what }];
     }),
   );
 
-const leavingHeeded: Check = (records) =>
-  [...sentTo(records)].flatMap(([replica, sent]) => {
-    const told = firstTold(sent, ({ isLeaving }) => isLeaving);
+const leavingRespected: Check = (records) =>
+  [...requestsByReplica(records)].flatMap(([replica, sent]) => {
+    const told = firstSignalled(sent, ({ isLeaving }) => isLeaving);
     return sent.flatMap((item) => {
       const since = told.get(item.entry) ?? Infinity;
       const isLate =
-        item.at > since + LEAVING_MS &&
+        item.at > since + LEAVING_GRACE_MS &&
         item.askedAt > since &&
-        !isExcused(records, item);
+        !isExempt(records, item);
       if (!isLate) return [];
       const what = `${replica} had told ${item.entry}, got ${item.requestId}`;
       return [{ promise: "no work for who says that it leaves", what }];
@@ -181,7 +181,7 @@
   });
 
 export const SIGNAL_CHECKS: readonly Check[] = [
-  limitsKept,
-  backOffsKept,
-  leavingHeeded,
+  limitsRespected,
+  backOffsRespected,
+  leavingRespected,
 ];
--- a/soak/types.ts
+++ b/soak/types.ts
@@ -7,7 +7,7 @@
 export type CallKind = (typeof CALL_KINDS)[number];
 
 /** How often a request of a kind may run. */
-export const MAY_RUN_AGAIN: Readonly<Record<CallKind, boolean>> = {
+export const IS_RETRYABLE: Readonly<Record<CallKind, boolean>> = {
   safe: true,
   unsafe: false,
   resumable: true,
@@ -108,7 +108,7 @@
 }
 
 /** A change that everybody must know of after a while. */
-export interface NewsRecord {
+export interface ChangeRecord {
   kind: "configuration" | "leaving";
   /** Version, or replica that leaves. */
   subject: string;
@@ -129,7 +129,7 @@
   limits: LimitRecord[];
   orders: OrderRecord[];
   faults: FaultRecord[];
-  news: NewsRecord[];
+  news: ChangeRecord[];
   stalls: StallRecord[];
 }
 
--- a/tests/gateway/play.test.ts
+++ b/tests/gateway/play.test.ts
@@ -85,7 +85,7 @@
 
   it("counts runs until they end", () => {
     const load = readLoad("bench/loads/longest-answers-in-a-rush.yaml");
-    expect(new Play(load, SEED).run().mostUncountedRuns).to.equal(0);
+    expect(new Play(load, SEED).run().maxUncountedRuns).to.equal(0);
   });
 
   it("serves the longest answers nearly as often as the rest", () => {
