--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -10,10 +10,10 @@
 import { Fleet } from "../tests/support/fleet.js";
 import { stopAll } from "../tests/support/processes.js";
 import { engineSpec } from "../tests/support/specs.js";
-import { callOnce } from "./lib/caller.js";
-import type { Outcome } from "./lib/caller.js";
-import { fairness, percentiles, spread } from "./lib/figures.js";
-import { makeTrace, promptOf, TRACES } from "./lib/traces.js";
+import { streamCompletion } from "./lib/caller.js";
+import type { CompletionOutcome } from "./lib/caller.js";
+import { fairness, percentiles, formatMeanAndRange } from "./lib/figures.js";
+import { generateTrace, promptOf, TRACES } from "./lib/traces.js";
 import type { TraceRequest } from "./lib/traces.js";
 
 const ENGINES = 8;
@@ -23,11 +23,11 @@
   { name: "lookup", urgency: "normal", deadlineMs: 2500 },
   { name: "draft", urgency: "normal", deadlineMs: 5000 },
 ];
-const DEADLINE: Record<string, number> = Object.fromEntries(
+const DEADLINE_MS_BY_CLASS: Record<string, number> = Object.fromEntries(
   CLASSES.map((item) => [item.name, item.deadlineMs]),
 );
 /** Rates of the engine stand-in. */
-const RATES = {
+const ENGINE_OPTIONS = {
   prefillTokensPerSecond: 8000,
   stepMs: 12,
   sequenceMs: 0.4,
@@ -43,8 +43,14 @@
   steady: 0.05,
 };
 
-const FAULTS = ["none", "crash", "lag", "withdrawn", "store-down"] as const;
-type Fault = (typeof FAULTS)[number];
+const FAULT_NAMES = [
+  "none",
+  "crash",
+  "lag",
+  "withdrawn",
+  "store-down",
+] as const;
+type Fault = (typeof FAULT_NAMES)[number];
 
 interface Run {
   trace: string;
@@ -66,7 +72,10 @@
 }
 
 const startFleet = (run: Run): Promise<Fleet> => {
-  const options = { ...RATES, loadLagMs: run.fault === "lag" ? 2000 : 0 };
+  const options = {
+    ...ENGINE_OPTIONS,
+    loadLagMs: run.fault === "lag" ? 2000 : 0,
+  };
   const upstreams = Array.from({ length: ENGINES }, (_item, at) =>
     engineSpec(`parts-${at + 1}`, { options }),
   );
@@ -83,9 +92,9 @@
         classes: CLASSES,
         defaultClass: "draft",
         capacity: {
-          prefillTokensPerSecond: RATES.prefillTokensPerSecond,
+          prefillTokensPerSecond: ENGINE_OPTIONS.prefillTokensPerSecond,
           decodeTokensPerSecond: 50,
-          maxSequences: RATES.maxSequences,
+          maxSequences: ENGINE_OPTIONS.maxSequences,
         },
         roles: {
           changeCost: CHANGE_COST[run.trace],
@@ -111,10 +120,14 @@
   }
 };
 
-const isGood = (request: TraceRequest, outcome: Outcome): boolean =>
-  outcome.isWhole && outcome.totalMs <= (DEADLINE[request.className] ?? 0);
+const isWithinDeadline = (
+  request: TraceRequest,
+  outcome: CompletionOutcome,
+): boolean =>
+  outcome.isWhole &&
+  outcome.totalMs <= (DEADLINE_MS_BY_CLASS[request.className] ?? 0);
 
-const share = (values: boolean[]): number =>
+const fractionTrue = (values: boolean[]): number =>
   values.filter(Boolean).length / Math.max(1, values.length);
 
 const counterSum = async (fleet: Fleet, prefix: string): Promise<number> => {
@@ -128,7 +141,7 @@
   return sum;
 };
 
-const reuse = async (fleet: Fleet): Promise<[number, number]> => {
+const measureReuse = async (fleet: Fleet): Promise<[number, number]> => {
   let reused = 0;
   let read = 0;
   let changes = 0;
@@ -149,17 +162,17 @@
   return [reused / Math.max(1, reused + read), changes];
 };
 
-const WINDOW_MS = 1500;
+const DETAIL_WINDOW_MS = 1500;
 
 /** Failures by window and class, to find what a figure hides. */
 const printDetail = (
   trace: TraceRequest[],
-  outcomes: Outcome[],
+  outcomes: CompletionOutcome[],
   good: boolean[],
 ): void => {
   const cells = new Map<string, Map<string, number>>();
   trace.forEach((request, at) => {
-    const window = Math.floor(request.at / WINDOW_MS) * WINDOW_MS;
+    const window = Math.floor(request.at / DETAIL_WINDOW_MS) * DETAIL_WINDOW_MS;
     const key = `${String(window).padStart(6)} ${request.className}`;
     const outcome = outcomes[at]!;
     const late = outcome.isWhole ? "late" : `cut ${outcome.code}`;
@@ -176,15 +189,15 @@
 
 const measure = async (run: Run): Promise<Figures> => {
   const fleet = await startFleet(run);
-  const trace = makeTrace(TRACES[run.trace]!, run.seed);
-  const half = (trace.at(-1)?.at ?? 0) / 3;
+  const trace = generateTrace(TRACES[run.trace]!, run.seed);
+  const faultAtMs = (trace.at(-1)?.at ?? 0) / 3;
   const startedAt = performance.now();
-  const fault = setTimeout(() => void inject(fleet, run.fault), half);
+  const fault = setTimeout(() => void inject(fleet, run.fault), faultAtMs);
   const outcomes = await Promise.all(
     trace.map(async (request, index) => {
       const wait = request.at - (performance.now() - startedAt);
       await new Promise((resolve) => setTimeout(resolve, Math.max(0, wait)));
-      return callOnce({
+      return streamCompletion({
         url: fleet.entryUrl(index % ENTRIES),
         prompt: promptOf(request, index),
         outputTokens: request.outputTokens,
@@ -196,19 +209,21 @@
     }),
   );
   clearTimeout(fault);
-  const good = trace.map((request, at) => isGood(request, outcomes[at]!));
+  const good = trace.map((request, at) =>
+    isWithinDeadline(request, outcomes[at]!),
+  );
   const ofClass = (name: string) =>
     good.filter((_item, at) => trace[at]?.className === name);
   if (process.env.BENCH_DETAIL) printDetail(trace, outcomes, good);
   const names = [...new Set(trace.map((request) => request.workspace))];
   const byWorkspace = names.map((name) =>
-    share(good.filter((_item, at) => trace[at]?.workspace === name)),
+    fractionTrue(good.filter((_item, at) => trace[at]?.workspace === name)),
   );
   const first = outcomes.filter((item) => item.firstTokenMs > 0);
-  const [reused, roleChanges] = await reuse(fleet);
+  const [reused, roleChanges] = await measureReuse(fleet);
   const figures: Figures = {
-    goodput: share(good),
-    urgent: share(ofClass("confirm")),
+    goodput: fractionTrue(good),
+    urgent: fractionTrue(ofClass("confirm")),
     first: percentiles(first.map((item) => item.firstTokenMs)),
     gap: percentiles(outcomes.flatMap((item) => item.gapsMs)),
     roleChanges,
@@ -221,16 +236,16 @@
   return figures;
 };
 
-const three = (values: [number, number, number]): string =>
+const formatPercentiles = (values: [number, number, number]): string =>
   values.map((value) => Math.round(value)).join("/");
 
 const mean = (values: number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-const row = (run: Run, all: Figures[]): string[] => {
+const tableRow = (run: Run, all: Figures[]): string[] => {
   const last = all.at(-1)!;
   const of = (name: "goodput" | "urgent" | "reused" | "fair") =>
-    spread(all.map((item) => item[name]));
+    formatMeanAndRange(all.map((item) => item[name]));
   const sum = (name: "roleChanges" | "refused" | "retried") =>
     mean(all.map((item) => item[name])).toFixed(1);
   return [
@@ -239,8 +254,8 @@
     run.policy,
     of("goodput"),
     of("urgent"),
-    three(last.first),
-    three(last.gap),
+    formatPercentiles(last.first),
+    formatPercentiles(last.gap),
     sum("roleChanges"),
     sum("refused"),
     sum("retried"),
@@ -249,7 +264,7 @@
   ];
 };
 
-const listOf = (at: number, all: readonly string[]): string[] => {
+const parseListArgument = (at: number, all: readonly string[]): string[] => {
   const text = process.argv[at];
   return text === undefined || text === "all" ? [...all] : text.split(",");
 };
@@ -272,14 +287,14 @@
     ],
     style: { head: [], compact: true },
   });
-  const seeds = listOf(5, ["1", "2"]).map(Number);
-  for (const trace of listOf(2, Object.keys(TRACES))) {
-    for (const fault of listOf(3, FAULTS) as Fault[]) {
-      for (const policy of listOf(4, POLICY_NAMES)) {
+  const seeds = parseListArgument(5, ["1", "2"]).map(Number);
+  for (const trace of parseListArgument(2, Object.keys(TRACES))) {
+    for (const fault of parseListArgument(3, FAULT_NAMES) as Fault[]) {
+      for (const policy of parseListArgument(4, POLICY_NAMES)) {
         const all: Figures[] = [];
         const run = { trace, fault, policy, seed: 0 };
         for (const seed of seeds) all.push(await measure({ ...run, seed }));
-        const cells = row(run, all);
+        const cells = tableRow(run, all);
         table.push(cells);
         console.error(cells.join(" | "));
       }
--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -18,7 +18,10 @@
 ];
 const STREAM_TOKENS = 12;
 
-const ask = async (client: OpenAI, question: string): Promise<string> => {
+const streamAnswer = async (
+  client: OpenAI,
+  question: string,
+): Promise<string> => {
   const stream = await client.chat.completions.create({
     model: "parts-8b",
     max_tokens: STREAM_TOKENS,
@@ -47,7 +50,7 @@
   for (const [index, question] of QUESTIONS.entries()) {
     const baseURL = `${fleet.entryUrl(index % 2)}/v1`;
     const client = new OpenAI({ apiKey: "none", baseURL, maxRetries: 0 });
-    console.log(`> ${question}\n< ${await ask(client, question)}`);
+    console.log(`> ${question}\n< ${await streamAnswer(client, question)}`);
     done += 1;
   }
   const answer = await exchange({
--- a/bench/faults.ts
+++ b/bench/faults.ts
@@ -35,7 +35,7 @@
 const pause = (durationMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, durationMs));
 
-interface Told {
+interface ReservationAnswer {
   key: string;
   status: number;
   verdict: string | undefined;
@@ -44,10 +44,10 @@
 
 interface Counts {
   faults: number;
-  told: Told[];
+  reservations: ReservationAnswer[];
   streams: number;
-  brokenSilently: number;
-  toldCut: number;
+  silentFailures: number;
+  reportedCuts: number;
 }
 
 const startFleet = (): Promise<Fleet> => {
@@ -73,15 +73,20 @@
   fleet: Fleet,
   sender: number,
   counts: Counts,
-  isOver: () => boolean,
+  isFinished: () => boolean,
 ): Promise<void> => {
-  for (let index = 0; !isOver(); index += 1) {
+  for (let index = 0; !isFinished(); index += 1) {
     const key = `key-${sender}-${index}`;
     const tries = rng() < 0.5 ? 2 : 1;
     for (let at = 0; at < tries; at += 1) {
       const told = await reserve(fleet.entryUrl(at), key);
       const { status, verdict } = told;
-      counts.told.push({ key, status, verdict, code: codeOf(told.body) });
+      counts.reservations.push({
+        key,
+        status,
+        verdict,
+        code: codeOf(told.body),
+      });
     }
     await pause(20);
   }
@@ -90,21 +95,21 @@
 const sendStreams = async (
   fleet: Fleet,
   counts: Counts,
-  isOver: () => boolean,
+  isFinished: () => boolean,
 ): Promise<void> => {
-  for (let index = 0; !isOver(); index += 1) {
+  for (let index = 0; !isFinished(); index += 1) {
     const url = fleet.entryUrl(index % 2);
     const told = await openStream(url, `s ${index}`, STREAM_TOKENS).ended;
     counts.streams += 1;
     const words = wholeWords(told.words.length).join();
     const isInOrder = told.words.join() === words;
-    if (!isInOrder) counts.brokenSilently += 1;
+    if (!isInOrder) counts.silentFailures += 1;
     if (told.isWhole && told.words.length !== STREAM_TOKENS) {
-      counts.brokenSilently += 1;
+      counts.silentFailures += 1;
     }
-    if (!told.isWhole) counts.toldCut += 1;
+    if (!told.isWhole) counts.reportedCuts += 1;
     if (!told.isWhole && told.status === 200 && told.error === undefined) {
-      counts.brokenSilently += 1;
+      counts.silentFailures += 1;
     }
     await pause(20);
   }
@@ -113,9 +118,9 @@
 const injectFaults = async (
   fleet: Fleet,
   counts: Counts,
-  isOver: () => boolean,
+  isFinished: () => boolean,
 ): Promise<void> => {
-  while (!isOver()) {
+  while (!isFinished()) {
     const part = fleet.part(draw([...PLAIN, ...ENGINES]));
     const proxy = rng() < 0.5 ? part.proxy : part.upstreamProxy;
     const skip = Math.floor(rng() * 3);
@@ -125,7 +130,7 @@
   }
 };
 
-const violations = async (fleet: Fleet, counts: Counts) => {
+const findViolations = async (fleet: Fleet, counts: Counts) => {
   const runs = new Map<string, number>();
   for (const id of PLAIN) {
     const record = await fleet.record<{ runs: { key: string }[] }>(id);
@@ -134,24 +139,25 @@
     }
   }
   const ran = (key: string) => runs.get(key) ?? 0;
-  const firsts = new Map<string, Told[]>();
-  for (const told of counts.told) {
-    firsts.set(told.key, [...(firsts.get(told.key) ?? []), told]);
+  const answersByKey = new Map<string, ReservationAnswer[]>();
+  for (const told of counts.reservations) {
+    answersByKey.set(told.key, [...(answersByKey.get(told.key) ?? []), told]);
   }
   // A key whose every try was told not-run must not have run at all.
-  const falseNotRun = [...firsts].filter(
+  const falseNotRun = [...answersByKey].filter(
     ([key, all]) =>
       all.every((told) => told.verdict === "not-run") && ran(key) > 0,
   ).length;
   return {
     twice: [...runs.values()].filter((count) => count > 1).length,
     falseNotRun,
-    lost: counts.told.filter((told) => told.status === 200 && ran(told.key) < 1)
-      .length,
+    lost: counts.reservations.filter(
+      (told) => told.status === 200 && ran(told.key) < 1,
+    ).length,
   };
 };
 
-const codes = (told: Told[]): string => {
+const errorCodeCounts = (told: ReservationAnswer[]): string => {
   const sums = new Map<string, number>();
   for (const { status, code } of told) {
     if (status !== 200) sums.set(code, (sums.get(code) ?? 0) + 1);
@@ -159,56 +165,59 @@
   return [...sums].map(([code, count]) => `${code} ${count}`).join(", ");
 };
 
-const underFaults = async (table: Table.Table): Promise<void> => {
+const measureUnderFaults = async (table: Table.Table): Promise<void> => {
   const fleet = await startFleet();
   const counts: Counts = {
     faults: 0,
-    told: [],
+    reservations: [],
     streams: 0,
-    brokenSilently: 0,
-    toldCut: 0,
+    silentFailures: 0,
+    reportedCuts: 0,
   };
   const endAt = performance.now() + SECONDS * 1000;
-  const isOver = () => performance.now() > endAt;
+  const isFinished = () => performance.now() > endAt;
   const senders = Array.from({ length: SENDERS }, (_item, at) =>
-    sendReservations(fleet, at, counts, isOver),
+    sendReservations(fleet, at, counts, isFinished),
   );
   const streams = Array.from({ length: SENDERS }, () =>
-    sendStreams(fleet, counts, isOver),
+    sendStreams(fleet, counts, isFinished),
   );
   await Promise.all([
-    injectFaults(fleet, counts, isOver),
+    injectFaults(fleet, counts, isFinished),
     ...senders,
     ...streams,
   ]);
-  const found = await violations(fleet, counts);
+  const found = await findViolations(fleet, counts);
   const of = (verdict: string) =>
-    counts.told.filter((told) => told.verdict === verdict).length;
+    counts.reservations.filter((told) => told.verdict === verdict).length;
   table.push(
     ["faults injected", counts.faults],
-    ["reservations sent", counts.told.length],
-    ["told 200", counts.told.filter((told) => told.status === 200).length],
+    ["reservations sent", counts.reservations.length],
+    [
+      "told 200",
+      counts.reservations.filter((told) => told.status === 200).length,
+    ],
     ["told not-run", of("not-run")],
     ["told may-have-run", of("may-have-run")],
-    ["codes of failures", codes(counts.told)],
+    ["codes of failures", errorCodeCounts(counts.reservations)],
     ["ran twice (violation)", found.twice],
     ["told not-run and ran (violation)", found.falseNotRun],
     ["told 200 and never ran (violation)", found.lost],
     ["streams", counts.streams],
-    ["streams told that they are cut", counts.toldCut],
-    ["streams wrong or cut in silence (violation)", counts.brokenSilently],
+    ["streams told that they are cut", counts.reportedCuts],
+    ["streams wrong or cut in silence (violation)", counts.silentFailures],
   );
   await stopAll();
 };
 
-const show = (values: number[]): string => {
+const formatDurations = (values: number[]): string => {
   const [p50, p95] = percentiles(values);
   const most = Math.max(...values);
   return `${p50.toFixed(0)} / ${p95.toFixed(0)} / ${most.toFixed(0)} ms`;
 };
 
 /** Time until another entry holds the leases of a killed one. */
-const takeovers = async (): Promise<number[]> => {
+const measureTakeovers = async (): Promise<number[]> => {
   const times: number[] = [];
   const fleet = await Fleet.start({
     entries: 2,
@@ -237,7 +246,7 @@
 };
 
 /** Longest time without an answer around the kill of one of two sides. */
-const sideKills = async (): Promise<number[]> => {
+const measureSideKills = async (): Promise<number[]> => {
   const times: number[] = [];
   const fleet = await Fleet.start({
     entries: 1,
@@ -266,18 +275,18 @@
 
 const main = async (): Promise<void> => {
   const table = new Table({ head: ["figure", "value"], style: { head: [] } });
-  await underFaults(table);
+  await measureUnderFaults(table);
   if (process.argv[4] === "faults-only") {
     console.log(table.toString());
     return;
   }
   table.push([
     "side killed to next answer, p50/p95/most",
-    show(await sideKills()),
+    formatDurations(await measureSideKills()),
   ]);
   table.push([
     "lease holder killed to next holder (lease 6 s)",
-    show(await takeovers()),
+    formatDurations(await measureTakeovers()),
   ]);
   console.log(table.toString());
 };
--- a/bench/hops.ts
+++ b/bench/hops.ts
@@ -13,18 +13,19 @@
   PLAIN_SERVICE,
   plainSpec,
 } from "../tests/support/specs.js";
-import { callOnce } from "./lib/caller.js";
+import { streamCompletion } from "./lib/caller.js";
 import { cpuMs, residentMb } from "./lib/cpu.js";
 import { percentiles } from "./lib/figures.js";
 
-const PER_SECOND = 200;
+const REQUESTS_PER_SECOND = 200;
 const SECONDS = 10;
 const STREAMS = 40;
 const STREAM_TOKENS = 400;
-const WARM_UP = 200;
-const MS = 1000;
+const WARM_UP_REQUESTS = 200;
+const MS_PER_SECOND = 1000;
+const US_PER_MS = 1000;
 
-const timed = async (url: string): Promise<number> => {
+const timeRequest = async (url: string): Promise<number> => {
   const startedAt = performance.now();
   await exchange({
     method: "POST",
@@ -36,16 +37,18 @@
 };
 
 /** Sends both ways in turn at a steady rate. */
-const paired = async (direct: string, through: string) => {
+const measurePaired = async (direct: string, through: string) => {
   const times = { direct: [] as number[], through: [] as number[] };
   const all: Promise<void>[] = [];
   const startedAt = performance.now();
-  for (let at = 0; at < PER_SECOND * SECONDS; at += 1) {
-    const due = (at / PER_SECOND) * MS - (performance.now() - startedAt);
+  for (let at = 0; at < REQUESTS_PER_SECOND * SECONDS; at += 1) {
+    const due =
+      (at / REQUESTS_PER_SECOND) * MS_PER_SECOND -
+      (performance.now() - startedAt);
     if (due > 0) await new Promise((resolve) => setTimeout(resolve, due));
     const isDirect = at % 2 === 0;
     const way = isDirect ? times.direct : times.through;
-    const one = timed(isDirect ? direct : through);
+    const one = timeRequest(isDirect ? direct : through);
     all.push(one.then((time) => void way.push(time)));
   }
   await Promise.all(all);
@@ -70,9 +73,9 @@
   const idle = { entry: residentMb(entry), side: residentMb(side) };
   const direct = `http://${fleet.part("stock-1").standin.at.listening}/stock/1`;
   const through = `${fleet.entryUrl()}/stock/1`;
-  for (let at = 0; at < WARM_UP; at += 1) {
-    await timed(direct);
-    await timed(through);
+  for (let at = 0; at < WARM_UP_REQUESTS; at += 1) {
+    await timeRequest(direct);
+    await timeRequest(through);
   }
   const stock = fleet.part("stock-1").standin.child.pid!;
   const before = {
@@ -80,18 +83,18 @@
     side: cpuMs(stockSide),
     stock: cpuMs(stock),
   };
-  const times = await paired(direct, through);
+  const times = await measurePaired(direct, through);
   const sent = times.through.length;
   const perRequest = {
-    entry: ((cpuMs(entry) - before.entry) / sent) * MS,
-    side: ((cpuMs(stockSide) - before.side) / sent) * MS,
+    entry: ((cpuMs(entry) - before.entry) / sent) * US_PER_MS,
+    side: ((cpuMs(stockSide) - before.side) / sent) * US_PER_MS,
     // It answers the direct ones as well: one hop of Node http, no work.
-    stock: ((cpuMs(stock) - before.stock) / (2 * sent)) * MS,
+    stock: ((cpuMs(stock) - before.stock) / (2 * sent)) * US_PER_MS,
   };
   const beforeStreams = { entry: cpuMs(entry), side: cpuMs(side) };
   const outcomes = await Promise.all(
     Array.from({ length: STREAMS }, (_item, at) =>
-      callOnce({
+      streamCompletion({
         url: fleet.entryUrl(),
         prompt: `stream ${at}`,
         outputTokens: STREAM_TOKENS,
@@ -102,8 +105,8 @@
   const whole = outcomes.filter((item) => item.isWhole).length;
   const tokens = whole * STREAM_TOKENS;
   const perToken = {
-    entry: ((cpuMs(entry) - beforeStreams.entry) / tokens) * MS,
-    side: ((cpuMs(side) - beforeStreams.side) / tokens) * MS,
+    entry: ((cpuMs(entry) - beforeStreams.entry) / tokens) * US_PER_MS,
+    side: ((cpuMs(side) - beforeStreams.side) / tokens) * US_PER_MS,
   };
   const [d50, d95, d99] = percentiles(times.direct);
   const [t50, t95, t99] = percentiles(times.through);
--- a/bench/idle.ts
+++ b/bench/idle.ts
@@ -19,8 +19,8 @@
 import { cpuMs, residentMb } from "./lib/cpu.js";
 
 const SECONDS = Number(process.argv[2] ?? 20);
-const MS = 1000;
-const LOOPBACK = /^\s*lo:\s*(\d+)/m;
+const MS_PER_SECOND = 1000;
+const LOOPBACK_RX_BYTES = /^\s*lo:\s*(\d+)/m;
 
 const counters = async (fleet: Fleet): Promise<Record<string, number>> => {
   const url = `http://${fleet.objectApi.at.listening}/counters`;
@@ -29,7 +29,9 @@
 };
 
 const loopbackBytes = (): number =>
-  Number(LOOPBACK.exec(readFileSync("/proc/net/dev", "utf8"))?.[1] ?? 0);
+  Number(
+    LOOPBACK_RX_BYTES.exec(readFileSync("/proc/net/dev", "utf8"))?.[1] ?? 0,
+  );
 
 const run = async (): Promise<void> => {
   const fleet = await Fleet.start({
@@ -42,7 +44,7 @@
     entry: { leaseMs: 6000 },
     peerPeriodMs: 1000,
   });
-  await new Promise((resolve) => setTimeout(resolve, 5 * MS));
+  await new Promise((resolve) => setTimeout(resolve, 5 * MS_PER_SECOND));
   const entries = fleet.entries.map((entry) => entry.child.pid!);
   const sides = [...fleet.upstreams.values()].map((p) => p.side.child.pid!);
   const sum = (pids: number[]) =>
@@ -53,12 +55,12 @@
     calls: await counters(fleet),
     bytes: loopbackBytes(),
   };
-  await new Promise((resolve) => setTimeout(resolve, SECONDS * MS));
+  await new Promise((resolve) => setTimeout(resolve, SECONDS * MS_PER_SECOND));
   const bytes = loopbackBytes() - before.bytes;
   const after = await counters(fleet);
   const table = new Table({ head: ["figure", "value"], style: { head: [] } });
   const percent = (now: number, then: number, count: number) =>
-    `${((now - then) / (SECONDS * MS * count)).toFixed(4)} of a core`;
+    `${((now - then) / (SECONDS * MS_PER_SECOND * count)).toFixed(4)} of a core`;
   const calls = ["reads", "writes", "watches"].map((name) => {
     const made = (after[name] ?? 0) - (before.calls[name] ?? 0);
     return `${name} ${(made / SECONDS).toFixed(2)}/s`;
--- a/bench/lib/caller.ts
+++ b/bench/lib/caller.ts
@@ -4,7 +4,7 @@
 
 const agent = new http.Agent({ keepAlive: true });
 
-export interface Outcome {
+export interface CompletionOutcome {
   status: number;
   isWhole: boolean;
   /** From sending to the first token, ms; 0: none came. */
@@ -22,10 +22,12 @@
   headers: Record<string, string>;
 }
 
-export const callOnce = (request: BenchRequest): Promise<Outcome> =>
+export const streamCompletion = (
+  request: BenchRequest,
+): Promise<CompletionOutcome> =>
   new Promise((resolve) => {
     const startedAt = performance.now();
-    const outcome: Outcome = {
+    const outcome: CompletionOutcome = {
       status: 0,
       isWhole: false,
       firstTokenMs: 0,
@@ -69,7 +71,7 @@
       });
       res.on("error", () => undefined);
       res.on("close", () => {
-        if (error !== "") outcome.code = codeOf(error);
+        if (error !== "") outcome.code = errorCodeOf(error);
         finish();
       });
     });
@@ -83,7 +85,7 @@
     );
   });
 
-const codeOf = (text: string): string => {
+const errorCodeOf = (text: string): string => {
   try {
     return (JSON.parse(text) as { error: { code: string } }).error.code;
   } catch {
--- a/bench/lib/figures.ts
+++ b/bench/lib/figures.ts
@@ -1,12 +1,12 @@
 /** Percentiles and shares of bench results. */
 import { build } from "hdr-histogram-js";
 
-const HIGHEST = 3_600_000_000;
+const MAX_TRACKABLE_US = 3_600_000_000;
 
 /** p50, p95 and p99 of values in ms, to a microsecond. */
 export const percentiles = (values: number[]): [number, number, number] => {
   const histogram = build({
-    highestTrackableValue: HIGHEST,
+    highestTrackableValue: MAX_TRACKABLE_US,
     numberOfSignificantValueDigits: 3,
   });
   for (const value of values) {
@@ -25,11 +25,11 @@
 };
 
 /** Mean of several seeds, with the least and the largest. */
-export const spread = (values: number[]): string => {
+export const formatMeanAndRange = (values: number[]): string => {
   const sum = values.reduce((total, value) => total + value, 0);
   const mean = (sum / values.length).toFixed(3);
   if (values.length === 1) return mean;
-  const least = Math.min(...values).toFixed(3);
-  const most = Math.max(...values).toFixed(3);
-  return `${mean} (${least}-${most})`;
+  const min = Math.min(...values).toFixed(3);
+  const max = Math.max(...values).toFixed(3);
+  return `${mean} (${min}-${max})`;
 };
--- a/bench/lib/traces.ts
+++ b/bench/lib/traces.ts
@@ -36,10 +36,10 @@
   phases: Phase[];
 }
 
-const SECOND = 1000;
+const MS_PER_SECOND = 1000;
 const WORKSPACES = ["bus-depot", "rail-depot", "workshops", "fleets"];
 /** One workspace sends this share of all, the others the rest. */
-const GREEDY_SHARE = 0.55;
+const DOMINANT_WORKSPACE_SHARE = 0.55;
 
 export const TRACES: Record<string, TraceSpec> = {
   catalogue: {
@@ -48,13 +48,13 @@
     manualTokens: 6000,
     phases: [
       {
-        untilMs: 9 * SECOND,
+        untilMs: 9 * MS_PER_SECOND,
         longPerSecond: 36,
         draftsPerSecond: 3,
         urgentPerSecond: 4,
       },
       {
-        untilMs: 18 * SECOND,
+        untilMs: 18 * MS_PER_SECOND,
         longPerSecond: 4,
         draftsPerSecond: 36,
         urgentPerSecond: 4,
@@ -67,19 +67,19 @@
     manualTokens: 9000,
     phases: [
       {
-        untilMs: 7 * SECOND,
+        untilMs: 7 * MS_PER_SECOND,
         longPerSecond: 26,
         draftsPerSecond: 4,
         urgentPerSecond: 2,
       },
       {
-        untilMs: 12 * SECOND,
+        untilMs: 12 * MS_PER_SECOND,
         longPerSecond: 6,
         draftsPerSecond: 30,
         urgentPerSecond: 2,
       },
       {
-        untilMs: 18 * SECOND,
+        untilMs: 18 * MS_PER_SECOND,
         longPerSecond: 6,
         draftsPerSecond: 24,
         urgentPerSecond: 24,
@@ -92,7 +92,7 @@
     manualTokens: 6000,
     phases: [
       {
-        untilMs: 18 * SECOND,
+        untilMs: 18 * MS_PER_SECOND,
         longPerSecond: 14,
         draftsPerSecond: 14,
         urgentPerSecond: 4,
@@ -101,21 +101,24 @@
   },
 };
 
-const pick = (rng: Rng): string => {
-  if (rng() < GREEDY_SHARE) return WORKSPACES[0] as string;
+const drawWorkspace = (rng: Rng): string => {
+  if (rng() < DOMINANT_WORKSPACE_SHARE) return WORKSPACES[0] as string;
   const at = 1 + Math.floor(rng() * (WORKSPACES.length - 1));
   return WORKSPACES[at] as string;
 };
 
 /** Some manuals are asked for much more often than others. */
-const pickManual = (rng: Rng, manuals: number): number =>
+const drawManual = (rng: Rng, manuals: number): number =>
   Math.floor(manuals * rng() ** 1.5);
 
-const between = (rng: Rng, low: number, high: number): number =>
+const drawInteger = (rng: Rng, low: number, high: number): number =>
   Math.round(low + rng() * (high - low));
 
 /** All requests of a trace, in order of time. */
-export const makeTrace = (spec: TraceSpec, seed: number): TraceRequest[] => {
+export const generateTrace = (
+  spec: TraceSpec,
+  seed: number,
+): TraceRequest[] => {
   const rng = seededRng(seed);
   const requests: TraceRequest[] = [];
   let from = 0;
@@ -126,30 +129,30 @@
     ) => {
       let at = from;
       for (;;) {
-        at += (-Math.log(1 - rng()) / perSecond) * SECOND;
+        at += (-Math.log(1 - rng()) / perSecond) * MS_PER_SECOND;
         if (at >= phase.untilMs) return;
-        requests.push({ at, workspace: pick(rng), ...make() });
+        requests.push({ at, workspace: drawWorkspace(rng), ...make() });
       }
     };
     add(phase.longPerSecond, () => ({
       className: "lookup",
-      manual: pickManual(rng, spec.manuals),
+      manual: drawManual(rng, spec.manuals),
       manualTokens: spec.manualTokens,
-      questionTokens: between(rng, 20, 120),
-      outputTokens: between(rng, 1, 3),
+      questionTokens: drawInteger(rng, 20, 120),
+      outputTokens: drawInteger(rng, 1, 3),
     }));
     add(phase.draftsPerSecond, () => ({
       className: "draft",
       manual: -1,
       manualTokens: 0,
-      questionTokens: between(rng, 40, 200),
-      outputTokens: between(rng, 60, 120),
+      questionTokens: drawInteger(rng, 40, 200),
+      outputTokens: drawInteger(rng, 60, 120),
     }));
     add(phase.urgentPerSecond, () => ({
       className: "confirm",
-      manual: pickManual(rng, spec.manuals),
+      manual: drawManual(rng, spec.manuals),
       manualTokens: spec.manualTokens,
-      questionTokens: between(rng, 10, 30),
+      questionTokens: drawInteger(rng, 10, 30),
       outputTokens: 2,
     }));
     from = phase.untilMs;
@@ -159,7 +162,7 @@
 
 const CHARS_PER_TOKEN = 4;
 
-const filler = (label: string, tokens: number): string => {
+const fillerText = (label: string, tokens: number): string => {
   const length = tokens * CHARS_PER_TOKEN;
   const unit = `${label} `;
   return unit.repeat(Math.ceil(length / unit.length)).slice(0, length);
@@ -167,7 +170,9 @@
 
 /** The prompt of a request. */
 export const promptOf = (request: TraceRequest, index: number): string => {
-  const question = filler(`question-${index}`, request.questionTokens);
+  const question = fillerText(`question-${index}`, request.questionTokens);
   if (request.manual < 0) return question;
-  return filler(`manual-${request.manual}`, request.manualTokens) + question;
+  return (
+    fillerText(`manual-${request.manual}`, request.manualTokens) + question
+  );
 };
--- a/bench/player/main.ts
+++ b/bench/player/main.ts
@@ -7,7 +7,7 @@
 import Table from "cli-table3";
 
 import { errText } from "../../src/shared/utils.js";
-import { percentiles, spread } from "../lib/figures.js";
+import { percentiles, formatMeanAndRange } from "../lib/figures.js";
 import { readLoad } from "./load.js";
 import { Play } from "./play.js";
 import { addTallies, servedBySize } from "./tally.js";
@@ -67,8 +67,8 @@
   for (const file of files) {
     const load = readLoad(file);
     const plays = seeds.map((seed) => new Play(load, seed).run());
-    const worth = spread(plays.map((item) => item.worth));
-    const changes = spread(plays.map((item) => item.changes));
+    const worth = formatMeanAndRange(plays.map((item) => item.worth));
+    const changes = formatMeanAndRange(plays.map((item) => item.changes));
     console.log(`${file}: worth ${worth}, changes of stage ${changes}`);
     console.log(kindTable(plays));
     if (flags.stages === true && plays[0] !== undefined) {
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -25,23 +25,23 @@
 import { seededRng } from "../src/shared/rng.js";
 import { StatsdMetrics } from "../src/telemetry/index.js";
 
-const MICRO = 1000;
-const LEAST_MS = 200;
+const US_PER_MS = 1000;
+const MIN_MEASUREMENT_MS = 200;
 
 /** Mean time of one call, µs. */
-const timeOf = (work: (round: number) => void): number => {
+const meanCallUs = (work: (round: number) => void): number => {
   for (let round = 0; round < 20; round += 1) work(round);
   const startedAt = performance.now();
   let rounds = 0;
-  while (performance.now() - startedAt < LEAST_MS) {
+  while (performance.now() - startedAt < MIN_MEASUREMENT_MS) {
     work(rounds);
     rounds += 1;
   }
-  return ((performance.now() - startedAt) / rounds) * MICRO;
+  return ((performance.now() - startedAt) / rounds) * US_PER_MS;
 };
 
 /** Heap that a value holds, KB. */
-const heapOf = (make: () => unknown): number => {
+const heapUsageKb = (make: () => unknown): number => {
   global.gc?.();
   const before = process.memoryUsage().heapUsed;
   const kept = make();
@@ -56,7 +56,7 @@
   style: { head: [], compact: true },
 });
 
-const add = (
+const addRow = (
   what: string,
   size: number,
   us: number | undefined,
@@ -68,7 +68,7 @@
   table.push([what, size, cell(us, 2), cell(bytes, 0), cell(heapKb, 0)]);
 };
 
-const upstreamsOf = (prefix: string, count: number) =>
+const makeUpstreams = (prefix: string, count: number) =>
   Array.from({ length: count }, (_item, at) => ({
     id: `${prefix}-${at}`,
     vm: `vm-${prefix}-${at}`,
@@ -77,7 +77,7 @@
     peerAddress: "10.11.12.13:8082",
   }));
 
-const configOf = (services: number, replicas: number): Config =>
+const makeConfig = (services: number, replicas: number): Config =>
   configSchema.parse({
     fleet: {
       name: "f",
@@ -89,12 +89,12 @@
       models: [{ name: `model-${at}`, version: "1" }],
       classes: [{ name: "c", urgency: "normal", deadlineMs: 1000 }],
       defaultClass: "c",
-      upstreams: upstreamsOf(`s${at}`, replicas),
+      upstreams: makeUpstreams(`s${at}`, replicas),
     })),
   });
 
-const routing = (replicas: number): void => {
-  const service = configOf(1, replicas).services[0]!;
+const measureRouting = (replicas: number): void => {
+  const service = makeConfig(1, replicas).services[0]!;
   const rng = seededRng(1);
   const router = new Router(createPolicy("expected-finish", rng), rng);
   const prompt = "manual ".repeat(2000);
@@ -111,25 +111,25 @@
     deadlineAt: 1e9,
     tried: new Set<string>(),
   });
-  const us = timeOf((round) => {
+  const us = meanCallUs((round) => {
     const one = request(round);
     const choice = router.choose(one, round);
     router.onSent(choice!.upstream.id, one, round);
     router.onEnd(choice!.upstream.id);
   });
-  add("route one request, by replicas", replicas, us);
+  addRow("route one request, by replicas", replicas, us);
 };
 
-const prefixes = (tokens: number): void => {
+const measurePrefixHashing = (tokens: number): void => {
   const prompt = "x".repeat(tokens * 4);
-  add(
+  addRow(
     "hash a prompt's prefixes, by tokens",
     tokens,
-    timeOf(() => void prefixChain("m", prompt)),
+    meanCallUs(() => void prefixChain("m", prompt)),
   );
 };
 
-const admission = (queued: number): void => {
+const measureAdmission = (queued: number): void => {
   const capacity = {
     prefillTokensPerSecond: 8000,
     decodeTokensPerSecond: 40,
@@ -148,17 +148,17 @@
   });
   for (let at = 0; at < queued + 32; at += 1) gate.arrive(arrival(`q${at}`), 0);
   let oldest = 0;
-  const us = timeOf((round) => {
+  const us = meanCallUs((round) => {
     gate.arrive(arrival(`r${round}`), 0);
     gate.remove(`q${oldest}`);
     oldest += 1;
     gate.admitWaiting(0);
     gate.remove(`r${round}`);
   });
-  add("admit and release, by queue", queued, us);
+  addRow("admit and release, by queue", queued, us);
 };
 
-const memberOf = (at: number): Member => ({
+const makeMember = (at: number): Member => ({
   id: `member-${at}`,
   kind: at % 6 === 0 ? "entry" : "side",
   state: "alive",
@@ -168,15 +168,15 @@
   role: "",
 });
 
-const membership = (size: number): void => {
-  const members = Array.from({ length: size }, (_item, at) => memberOf(at));
+const measureMembership = (size: number): void => {
+  const members = Array.from({ length: size }, (_item, at) => makeMember(at));
   const rng = seededRng(2);
   const make = () => {
-    const one = new Membership(memberOf(0));
+    const one = new Membership(makeMember(0));
     one.merge(members, 0);
     return one;
   };
-  const heap = heapOf(make);
+  const heap = heapUsageKb(make);
   const one = make();
   for (let at = 0; at < size * 20; at += 1) one.takeRumours();
   const quiet = Digest.encode({
@@ -186,10 +186,10 @@
     membersHash: one.hash,
     rumours: one.takeRumours(),
   }).finish().length;
-  add(
+  addRow(
     "pick peers and tick, by members (quiet digest)",
     size,
-    timeOf((round) => {
+    meanCallUs((round) => {
       one.tick(round);
       one.pickPeers(2, rng);
     }),
@@ -197,18 +197,18 @@
     heap,
   );
   const domain = new RankingCache(one, (item) => item.domain === "domain-0");
-  add(
+  addRow(
     "am I a watcher, by members",
     size,
-    timeOf(() => void domain.isSelfRanked("watch", 2)),
+    meanCallUs(() => void domain.isSelfRanked("watch", 2)),
   );
   let incarnation = 2e12;
-  add(
+  addRow(
     "the same after news of a member, by members",
     size,
-    timeOf(() => {
+    meanCallUs(() => {
       incarnation += 1;
-      one.merge([{ ...memberOf(7), incarnation }], 0);
+      one.merge([{ ...makeMember(7), incarnation }], 0);
       domain.isSelfRanked("watch", 2);
     }),
   );
@@ -219,58 +219,58 @@
     membersHash: one.hash,
     rumours: members.slice(0, 12),
   }).finish().length;
-  add("digest with 12 rumours", 12, undefined, full);
+  addRow("digest with 12 rumours", 12, undefined, full);
 };
 
 /** Only what a peer would send: the parts that are new. */
-const deltaOf = (config: Config, state: ConfigState, number: number) => {
+const makeDelta = (config: Config, state: ConfigState, number: number) => {
   const [service] = config.services;
   const part = toSnapshot({ ...config, services: [service!] }, number);
   const parts = { ...state.head.parts, ...part.head.parts };
   return { head: { number, parts }, bodies: part.bodies };
 };
 
-const configuration = (services: number, replicas: number): void => {
-  const config = configOf(services, replicas);
+const measureConfiguration = (services: number, replicas: number): void => {
+  const config = makeConfig(services, replicas);
   const snapshot = toSnapshot(config, 1);
   const total = Object.values(snapshot.bodies).reduce(
     (sum, body) => sum + body.length,
     0,
   );
-  const heap = heapOf(() => adoptSnapshot(undefined, snapshot));
-  add(
+  const heap = heapUsageKb(() => adoptSnapshot(undefined, snapshot));
+  addRow(
     "take a whole configuration, by replicas",
     services * replicas,
-    timeOf((round) => {
+    meanCallUs((round) => {
       adoptSnapshot(undefined, toSnapshot(config, round + 1));
     }),
     total,
     heap,
   );
-  const changed = configOf(services, replicas);
+  const changed = makeConfig(services, replicas);
   let state = adoptSnapshot(undefined, snapshot);
-  add(
+  addRow(
     "take a change of one service, by replicas",
     services * replicas,
-    timeOf((round) => {
+    meanCallUs((round) => {
       changed.services[0]!.classes[0]!.deadlineMs = 1000 + (round % 1000);
-      state = adoptSnapshot(state, deltaOf(changed, state!, round + 2));
+      state = adoptSnapshot(state, makeDelta(changed, state!, round + 2));
     }),
   );
   const part = snapshot.bodies[snapshot.head.parts["service/service-0"] ?? ""];
-  add("one service's part, by replicas", replicas, undefined, part?.length);
+  addRow("one service's part, by replicas", replicas, undefined, part?.length);
   const packed = packBodies({ print: part ?? "" });
-  add(
+  addRow(
     "the same as it travels, by replicas",
     replicas,
-    timeOf(() => void packBodies({ print: part ?? "" })),
+    meanCallUs(() => void packBodies({ print: part ?? "" })),
     packed.length,
   );
   const head = JSON.stringify(snapshot.head).length;
-  add("head, by services", services, undefined, head);
+  addRow("head, by services", services, undefined, head);
 };
 
-const claims = (held: number): void => {
+const measureClaims = (held: number): void => {
   let filled = EMPTY_CLAIMS;
   const request = (at: number) => ({
     service: "s",
@@ -285,11 +285,11 @@
       0,
     );
   }
-  const us = timeOf((round) => {
+  const us = meanCallUs((round) => {
     const event = { kind: "begin", request: request(held + round) } as const;
     JSON.stringify(applyClaimEvent(filled, event, 0));
   });
-  add(
+  addRow(
     "claim a key, by keys held in its shard",
     held,
     us,
@@ -297,7 +297,7 @@
   );
 };
 
-const control = (replicas: number): void => {
+const measureControl = (replicas: number): void => {
   let record: ControlRecord = {
     lease: { holder: "entry-1/1700000000000", epoch: 1, beat: 1 },
     desired: {},
@@ -312,13 +312,13 @@
     });
     if (answer.kind === "accepted") record = answer.record;
   }
-  const us = timeOf(() => void JSON.parse(JSON.stringify(record)));
+  const us = meanCallUs(() => void JSON.parse(JSON.stringify(record)));
   const bytes = JSON.stringify(record).length;
-  add("read and write a control record, by replicas", replicas, us, bytes);
+  addRow("read and write a control record, by replicas", replicas, us, bytes);
 };
 
-const roles = (replicas: number): void => {
-  const service = configOf(1, replicas).services[0]!;
+const measureRoles = (replicas: number): void => {
+  const service = makeConfig(1, replicas).services[0]!;
   const engines = service.upstreams.map(({ id }) => ({
     upstream: id,
     role: "mixed" as const,
@@ -327,27 +327,27 @@
     decodePerSecond: 700,
     ageMs: 10,
   }));
-  add(
+  addRow(
     "plan roles, by replicas",
     replicas,
-    timeOf(() => {
+    meanCallUs(() => {
       planRole({ service, engines, sinceChangeMs: 1e9, roleChangeMs: 5000 });
     }),
   );
 };
 
-const histograms = (workspaces: number): void => {
+const measureHistograms = (workspaces: number): void => {
   const metrics = new StatsdMetrics(undefined);
-  const heap = heapOf(() => {
+  const heap = heapUsageKb(() => {
     for (let at = 0; at < workspaces * 10; at += 1) {
       metrics.latency("s/c", `workspace-${at % workspaces}`, at % 5000);
     }
     return metrics;
   });
-  add(
+  addRow(
     "record a latency, by workspaces",
     workspaces,
-    timeOf((round) => {
+    meanCallUs((round) => {
       metrics.latency("s/c", `workspace-${round % workspaces}`, round % 5000);
     }),
     undefined,
@@ -355,24 +355,24 @@
   );
 };
 
-for (const size of [8, 50, 200, 800]) routing(size);
-for (const size of [100, 1000, 10_000]) prefixes(size);
-for (const size of [10, 100, 250]) admission(size);
-for (const size of [100, 1000, 4100]) membership(size);
-configuration(2, 8);
-configuration(17, 50);
-configuration(17, 200);
-for (const size of [10, 100, 1000]) claims(size);
-for (const size of [8, 50, 200]) control(size);
-for (const size of [8, 50, 200]) roles(size);
-for (const size of [10, 64, 1000, 6000]) histograms(size);
+for (const size of [8, 50, 200, 800]) measureRouting(size);
+for (const size of [100, 1000, 10_000]) measurePrefixHashing(size);
+for (const size of [10, 100, 250]) measureAdmission(size);
+for (const size of [100, 1000, 4100]) measureMembership(size);
+measureConfiguration(2, 8);
+measureConfiguration(17, 50);
+measureConfiguration(17, 200);
+for (const size of [10, 100, 1000]) measureClaims(size);
+for (const size of [8, 50, 200]) measureControl(size);
+for (const size of [8, 50, 200]) measureRoles(size);
+for (const size of [10, 64, 1000, 6000]) measureHistograms(size);
 const DIGESTED_BYTES = [0, 2048, 16_384, 65_536];
 for (const bytes of DIGESTED_BYTES) {
   const body = Buffer.alloc(bytes, 7);
   const host = "parts.example";
   const request = { host, target: "/a/7", workspace: "depot", body };
-  const micros = timeOf(() => requestDigest(request));
-  add("digest of a request, by body", bytes, micros);
+  const micros = meanCallUs(() => requestDigest(request));
+  addRow("digest of a request, by body", bytes, micros);
 }
 
 console.log(table.toString());
