--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of the soak: requests over kept connections, and probes. */
+/** Simulated callers: requests over keep-alive connections, and probes. */
 import http from "node:http";
 
 import {
@@ -21,17 +21,17 @@
   resumable: "/resume/a",
   draft: "/draft/a",
 };
-/** Beyond the deadline, before a caller gives up, ms. */
+/** Time past the deadline after which a caller gives up, ms. */
 const TIMEOUT_MARGIN_MS = 1000;
-/** Pause of a caller between two requests, ms. */
+/** Longest pause of a caller between two requests, ms. */
 const MAX_PAUSE_MS = 15;
-/** Pause where no entry can be reached, ms. */
+/** Pause before the next try if no entry is reachable, ms. */
 const NO_ENTRY_RETRY_MS = 100;
 const PROBE_INTERVAL_MS = 120;
 const EVENT_ID = /^id: (\d+)$/gm;
 const CONNECTIONS_PER_CALLER = 1;
 
-/** What came back of one request. */
+/** The response to one request, as far as it arrived. */
 interface Answer {
   status: number;
   headers: http.IncomingHttpHeaders;
@@ -88,16 +88,16 @@
     req.end();
   });
 
-const replicaIn = (body: string): string | undefined => {
+const replicaInBody = (body: string): string | undefined => {
   try {
     return (JSON.parse(body) as { by?: string }).by;
   } catch {
-    // A spoilt body names nobody, which the check of whole answers reports.
+    // A corrupt body names no replica, which `answersAreComplete` reports.
     return undefined;
   }
 };
 
-const eventsIn = (body: string): number[] =>
+const eventIdsIn = (body: string): number[] =>
   [...body.matchAll(EVENT_ID)].map((match) => Number(match[1]));
 
 export class SoakCaller {
@@ -113,7 +113,7 @@
     private readonly rng: Rng,
   ) {}
 
-  /** Sends requests one after the other until it is over. */
+  /** Sends requests one after the other until `isOver` returns true. */
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
       const reachable = this.fleet.entries.filter((item) => item.callerAddress);
@@ -154,13 +154,13 @@
       isWhole,
       answerId: names.id,
       signedBy: names.signedBy,
-      bodyBy: isStream ? undefined : replicaIn(body),
-      events: isStream ? eventsIn(body) : [],
+      bodyBy: isStream ? undefined : replicaInBody(body),
+      events: isStream ? eventIdsIn(body) : [],
     });
   }
 }
 
-/** Asks each entry for routes that configurations have added. */
+/** Requests routes that configuration versions added, from each entry. */
 export const probeAddedRoutes = async (
   fleet: SoakFleet,
   rng: Rng,
@@ -172,10 +172,10 @@
     const entries = fleet.entries.filter(
       (item) => item.isUp && item.callerAddress,
     );
-    const asked = entries.map(
+    const pending = entries.map(
       async ({ id: entry, life, callerAddress = "" }) => {
-        const newest = rng() < 0.5;
-        const version = newest
+        const probesNewest = rng() < 0.5;
+        const version = probesNewest
           ? fleet.version
           : 1 + Math.floor(rng() * fleet.version);
         const sentAt = fleet.now();
@@ -206,7 +206,7 @@
         });
       },
     );
-    await Promise.all(asked);
+    await Promise.all(pending);
   }
   agent.destroy();
 };
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -1,6 +1,6 @@
 /**
- * The promises, checked on what callers and upstreams recorded. Pure: records
- * in, violations out.
+ * Checks the promises of the system against what callers and upstreams
+ * recorded. Pure functions from records to violations.
  */
 import { SIGNAL_CHECKS } from "./signalChecks.js";
 import { IS_STREAM, IS_RETRYABLE } from "./types.js";
@@ -11,19 +11,24 @@
   Violation,
 } from "./types.js";
 
-/** Events of a whole stream; the stand-in replicas send as many. */
+/** Number of events in a complete stream of the stand-in replicas. */
 export const STREAM_EVENTS = 40;
-/** Time that callers of the soak give a request, ms. */
+/** Deadline that callers set for a request, ms. */
 export const DEADLINE_MS = 2000;
-/** Calm before a bound on time holds, ms: the users' contact time. */
+/**
+ * Time without unplanned faults before time bounds apply, ms: equals the
+ * `contactMs` setting of the processes.
+ */
 const CALM_BEFORE_MS = 3000;
-/** Bound on news that every process must know, ms, with slack for a busy
- * machine. */
+/**
+ * Longest time until every process knows of a change, ms, with slack for a busy
+ * machine.
+ */
 const MAX_PROPAGATION_MS = 4000;
-/** Share and stock of further sends, as in the settings of the processes. */
+/** Retry budget, as in the settings of the processes. */
 const RETRY_BUDGET_RATIO = 0.2;
 const RETRY_BURST = 64;
-/** Statuses that say that nothing ran and nothing will. */
+/** Statuses that state that the request did not run and will not. */
 const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
 
 type Check = (records: SoakRecords) => Violation[];
@@ -41,7 +46,7 @@
   return groups;
 };
 
-/** Whether no unplanned fault lasted at any time between two instants. */
+/** Whether no unplanned fault overlaps the given period. */
 const isCalm = (records: SoakRecords, from: number, until: number): boolean =>
   records.faults.every(
     (fault) => fault.isPlanned || fault.until < from || fault.from > until,
@@ -50,21 +55,21 @@
 const answersAreComplete: Check = ({ calls }) =>
   calls.filter(isSuccess).flatMap((call) => {
     const { id, kind, events } = call;
-    const faults: string[] = [];
-    if (call.answerId !== id) faults.push(`names request ${call.answerId}`);
-    if (call.signedBy === undefined) faults.push("is not signed");
+    const problems: string[] = [];
+    if (call.answerId !== id) problems.push(`names request ${call.answerId}`);
+    if (call.signedBy === undefined) problems.push("is not signed");
     if (IS_STREAM[kind]) {
       const isInOrder = events.every((event, at) => event === at + 1);
-      if (!isInOrder) faults.push(`has events ${events.join(",")}`);
+      if (!isInOrder) problems.push(`has events ${events.join(",")}`);
       if (call.isWhole && events.length !== STREAM_EVENTS) {
-        faults.push(`ends as whole after ${events.length} events`);
+        problems.push(`ends as whole after ${events.length} events`);
       }
     } else if (call.isWhole && call.bodyBy !== call.signedBy) {
-      faults.push(`is signed by ${call.signedBy}, of ${call.bodyBy}`);
+      problems.push(`is signed by ${call.signedBy}, of ${call.bodyBy}`);
     }
-    return faults.map((fault) => ({
+    return problems.map((problem) => ({
       promise: "whole answers",
-      what: `answer to ${id} (${kind}) ${fault}`,
+      what: `answer to ${id} (${kind}) ${problem}`,
     }));
   });
 
@@ -138,8 +143,8 @@
   for (const news of records.news) {
     if (news.kind === "configuration") {
       for (const { version, sentAt, status, entry } of records.probes) {
-        const isLate = isPropagationOverdue(records, news, sentAt);
-        if (String(version) !== news.subject || !isLate) continue;
+        const isOverdue = isPropagationOverdue(records, news, sentAt);
+        if (String(version) !== news.subject || !isOverdue) continue;
         if (status !== 404) continue;
         const what = `${entry} did not know ${version} in time`;
         violations.push({ promise: "configuration in force", what });
@@ -162,16 +167,16 @@
     0,
   );
   const requests = calls.length + probes.length;
-  const most = requests * RETRY_BUDGET_RATIO + RETRY_BURST;
-  if (further <= most) return [];
+  const maxFurther = requests * RETRY_BUDGET_RATIO + RETRY_BURST;
+  if (further <= maxFurther) return [];
   const what = `${further} further sends for ${requests} requests`;
   return [{ promise: "bounded retries", what }];
 };
 
 /**
- * A request that crossed the close of its connection and ran nowhere was not
- * cut, nor one whose time was over: a machine that stands still for seconds
- * ends requests without any fault of the product.
+ * A request that ran nowhere because its connection closed as it was sent does
+ * not count as cut. Nor does one past its deadline: a machine that hangs for
+ * seconds ends requests through no fault of the system.
  */
 const plannedStopCutsNothing: Check = (records) => {
   const ran = new Set(records.runs.map((run) => run.requestId));
@@ -224,6 +229,6 @@
   ...SIGNAL_CHECKS,
 ];
 
-/** Everything that the records prove to be wrong. */
+/** Returns every violation that the records prove. */
 export const findViolations = (records: SoakRecords): Violation[] =>
   CHECKS.flatMap((check) => check(records));
--- a/soak/daemonProcess.ts
+++ b/soak/daemonProcess.ts
@@ -1,4 +1,4 @@
-/** One process of the product under test: start, signals, lives. */
+/** One daemon process under test: start, signals, restarts. */
 import { spawn } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
 import { writeFileSync } from "node:fs";
@@ -13,19 +13,19 @@
 import { DIST } from "../tests/support/processes.js";
 
 const DAEMON_SCRIPT = path.join(DIST, "platform/main.js");
-/** Lines that are kept of each process for whoever looks into a failure. */
+/** Number of most recent log lines kept per process, to debug failures. */
 const MAX_LOG_LINES = 20_000;
 
-/** What a process logs when it serves. */
+/** Log line of a process that is ready to serve. */
 interface StartedLine {
   message?: string;
   callers?: string;
 }
 
 export class DaemonProcess {
-  /** Counts its starts. */
+  /** Number of starts so far. */
   life = 0;
-  /** Where callers reach it; undefined while it is not up. */
+  /** Address that callers connect to; undefined while it is not up. */
   callerAddress: string | undefined;
   readonly logLines: string[] = [];
   private child: ChildProcess | undefined;
@@ -45,7 +45,7 @@
     return this.child !== undefined && !this.isPaused;
   }
 
-  /** Resolves when it serves. */
+  /** Resolves when the process serves, or has exited. */
   async start(): Promise<void> {
     await this.exited;
     const file = path.join(this.folder, `${this.id}.yaml`);
@@ -82,13 +82,13 @@
     this.child?.kill(name);
   }
 
-  /** Sends SIGTERM and resolves when it has ended. */
+  /** Sends SIGTERM and resolves when the process has exited. */
   async stop(): Promise<void> {
     this.signal("SIGTERM");
     await this.exited;
   }
 
-  /** Sends SIGKILL and resolves when it has ended. */
+  /** Sends SIGKILL and resolves when the process has exited. */
   async kill(): Promise<void> {
     this.signal("SIGCONT");
     this.signal("SIGKILL");
--- a/soak/draw.ts
+++ b/soak/draw.ts
@@ -1,6 +1,6 @@
-/** Draws from a seeded generator. */
+/** Random choice by a seeded generator. */
 import type { Rng } from "../src/shared/rng.js";
 
-/** One of the items; undefined if there is none. */
+/** Returns a random item, or undefined for an empty list. */
 export const drawOne = <T>(items: readonly T[], rng: Rng): T | undefined =>
   items[Math.floor(rng() * items.length)];
--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -1,4 +1,4 @@
-/** The harm that the soak does: each fault strikes one target and heals. */
+/** Faults that the soak injects: each hits one target and is then reverted. */
 import type { Behaviour } from "../platform/standins/replica.js";
 import type { StoreMode } from "../platform/standins/store.js";
 import type { Rng } from "../src/shared/rng.js";
@@ -8,30 +8,31 @@
 import type { SoakFleet, SoakReplica } from "./fleet.js";
 import type { FaultRecord } from "./types.js";
 
-/** What a fault needs while it lasts. */
+/** What a fault can use while it lasts. */
 interface FaultContext {
   fleet: SoakFleet;
   rng: Rng;
-  /** Resolves after a time drawn between two bounds, ms. */
+  /** Resolves after a random time between two bounds, ms. */
   wait(minMs: number, maxMs: number): Promise<void>;
   draw<T>(items: readonly T[]): T | undefined;
-  /** Adds to the record of the fault which variant it is. */
+  /** Sets the variant in the record of the fault. */
   setVariant(variant: string): void;
 }
 
-/** One kind of harm; nothing to strike: `target` is undefined. */
+/** One kind of fault. */
 interface Fault<T> {
   name: string;
-  /** Planned work must cut nothing. */
+  /** Planned work must not cut any request. */
   isPlanned: boolean;
+  /** Chooses what to hit; undefined if there is nothing. */
   target(strike: FaultContext): T | undefined;
-  /** Names the target; two faults never strike the same one at once. */
+  /** Id of the target; two faults never hit the same target at once. */
   nameOf(target: T): string;
-  /** Does harm, waits, and heals. */
+  /** Injects the fault, waits, and reverts it. */
   run(target: T, strike: FaultContext): Promise<void>;
 }
 
-/** Hides the type of the target, so that faults stand in one list. */
+/** A fault without the type of its target, so that one list holds all. */
 export interface AnyFault {
   name: string;
   isPlanned: boolean;
@@ -66,11 +67,11 @@
   "hang",
   "stall",
 ];
-/** Back-offs that replicas ask for, as written; the last can't be read. */
+/** Retry-After values that replicas send; the last one is invalid. */
 const BACK_OFFS = ["0.3", "1", "2.5", "0", "later"] as const;
 const LINK_DELAY_MS = 200;
 const MISBEHAVING_SHARE = 0.4;
-/** A leaving replica serves on for this long, ms, and a little longer. */
+/** How long a leaving replica continues to serve, ms. */
 const LEAVING_MS = 4500;
 
 const processId = ({ id }: DaemonProcess): string => id;
@@ -230,7 +231,7 @@
   }),
 ];
 
-/** What replicas say of themselves, and a store that forgets. */
+/** Back-off and leaving signals of replicas, and a store that loses writes. */
 const SIGNALS: readonly AnyFault[] = [
   defineFault({
     name: "replica asks for back-off",
@@ -284,9 +285,9 @@
   }),
 ];
 
-/** Limits that replicas name, requests a second. */
+/** Limits that replicas name, requests per second. */
 const LIMITS = [0, 0.5, 1.4, 4.3, 12] as const;
-/** Limits that one replica names one after the other. */
+/** Number of limits that one replica names in succession. */
 const LIMIT_CHANGES = 3;
 
 const LIMITED: readonly AnyFault[] = [
@@ -311,8 +312,8 @@
 ];
 
 /**
- * `planned`: nothing but planned work; `signals` and `limits`: those faults
- * besides all.
+ * `planned`: planned work only; `signals` and `limits`: those faults in addition
+ * to the ones of `all`.
  */
 export type FaultProfile = "planned" | "all" | "signals" | "limits";
 
@@ -326,7 +327,10 @@
 export const faultsOf = (profile: FaultProfile): readonly AnyFault[] =>
   FAULTS[profile];
 
-/** Strikes at times drawn from the seed until it is over; faults overlap. */
+/**
+ * Injects faults at random times, drawn from the seed, until it is over. Faults
+ * on different targets may overlap.
+ */
 export class FaultInjector {
   private readonly activeTargets = new Set<string>();
   private readonly running = new Set<Promise<void>>();
--- a/soak/fleet.ts
+++ b/soak/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * A deployment for the soak: entries and schedulers as processes; the store
- * and the replicas as stand-ins in this process, each behind a link that can
- * do harm, so that what ran is known for certain.
+ * A deployment for the soak. Entries and schedulers are processes. The store and
+ * the replicas are stand-ins in this process, so that the soak knows for certain
+ * what ran; each is behind a link that can inject faults.
  */
 import { mkdtempSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -25,21 +25,22 @@
   engines: number;
 }
 
-/** A replica, its link, and how it behaves to how many requests. */
+/** A stand-in replica, its link and its current misbehaviour. */
 export interface SoakReplica {
   standin: StandinReplica;
   link: FaultLink;
-  /** Place that incarnations take one after the other. */
+  /** Id without the incarnation; successive incarnations share it. */
   baseId: string;
+  /** Applies to this share of the requests. */
   misbehaviour: { behaviour: Behaviour; share: number } | undefined;
-  /** As its entry in the store says, or would say. */
+  /** State in its store entry, or the one to write there next. */
   state: "ready" | "draining";
 }
 
 const GRACE_MS = 3000;
 const LEASE_MS = 1000;
 const CONTACT_MS = 3000;
-/** How long an engine takes to play another part, ms. */
+/** How long an engine takes to change its stage, ms. */
 const STAGE_CHANGE_MS = 300;
 const ZONES = 3;
 
@@ -47,7 +48,7 @@
   readonly store = new StandinStore();
   readonly processes: DaemonProcess[] = [];
   readonly replicas: SoakReplica[] = [];
-  /** Each process's way to the store. */
+  /** Link to the store, by process id. */
   readonly storeLinks = new Map<string, FaultLink>();
   readonly records: SoakRecords = {
     calls: [],
@@ -95,7 +96,7 @@
     await Promise.all(this.processes.map((item) => item.start()));
   }
 
-  /** Ends every process that it started, by its id. */
+  /** Kills every started process and stops all stand-ins and links. */
   async stop(): Promise<void> {
     await Promise.all(this.processes.map((item) => item.kill()));
     for (const { standin, link } of this.replicas) {
@@ -107,7 +108,7 @@
     rmSync(this.folder, { recursive: true });
   }
 
-  /** The operator's next configuration. */
+  /** Publishes the next configuration version, as the operator would. */
   changeConfig(): void {
     this.version += 1;
     putConfig(this.store, this.version);
@@ -115,19 +116,22 @@
     this.records.news.push({ kind: "configuration", subject, at: this.now() });
   }
 
-  /** What the operator and the replicas wrote is written again. */
+  /**
+   * Writes the entries of the operator and the replicas to the store again, and
+   * removes those of replicas that no longer exist.
+   */
   rewriteStore(): void {
     putConfig(this.store, this.version);
-    const living = new Set(
+    const currentIds = new Set(
       this.replicas.map(({ standin }) => standin.options.id),
     );
     for (const name of this.store.names(KINDS.replicas)) {
-      if (!living.has(name)) this.store.remove(KINDS.replicas, name);
+      if (!currentIds.has(name)) this.store.remove(KINDS.replicas, name);
     }
     for (const replica of this.replicas) this.register(replica);
   }
 
-  /** A new incarnation at a place; `engine-…` are model engines. */
+  /** Starts a new incarnation; ids `engine-…` are model engines. */
   async addReplica(baseId: string): Promise<SoakReplica> {
     this.incarnations += 1;
     const isEngine = baseId.startsWith("engine");
@@ -161,14 +165,17 @@
     return replica;
   }
 
-  /** Writes a replica's entry, unless it is gone. */
+  /** Writes a replica's entry to the store, unless the replica was removed. */
   register(replica: SoakReplica, state = replica.state): void {
     replica.state = state;
     if (!this.replicas.includes(replica)) return;
     replica.standin.register(this.store, state, replica.link.address);
   }
 
-  /** A replica names this limit in its answers from now on; undefined: none. */
+  /**
+   * Sets the limit that a replica names in its answers, requests per second;
+   * undefined: none.
+   */
   setLimit({ standin }: SoakReplica, perS: number | undefined): void {
     standin.rateLimit = perS === undefined ? undefined : String(perS);
     const { id } = standin.options;
@@ -179,7 +186,7 @@
     unlist(this.store, replica.standin);
   }
 
-  /** The replica ends; its address answers no more. */
+  /** Stops a replica; its address no longer answers. */
   removeReplica(replica: SoakReplica): void {
     replica.standin.stop();
     replica.link.stop();
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * The soak from the command line: seeds one after the other; what breaks a
- * promise is printed with the seed and how to repeat it.
+ * Command line of the soak: runs seeds one after the other and prints each
+ * violation below the seed that it occurred with.
  *
  * node dist/soak/main.js --from 1 --count 50 --seconds 12
  */
@@ -28,8 +28,8 @@
     records.stalls.reduce((sum, { from, until }) => sum + until - from, 0),
   );
 
-/** Which faults struck, and how often. */
-const countsOf = ({ records }: SoakResult): string => {
+/** How often each fault was injected. */
+const faultCounts = ({ records }: SoakResult): string => {
   const counts = new Map<string, number>();
   for (const { name } of records.faults) {
     counts.set(name, (counts.get(name) ?? 0) + 1);
@@ -45,7 +45,7 @@
   console.log(
     `seed ${options.seed} (${options.profile}): ${calls.length} requests, ` +
       `${served} answered whole, ${runs.length} runs, ${orders.length} orders;` +
-      ` faults: ${countsOf(result)}; stalled ${stalledMs(result)} ms;` +
+      ` faults: ${faultCounts(result)}; stalled ${stalledMs(result)} ms;` +
       ` ${result.violations.length} violations`,
   );
   for (const { promise, what } of result.violations.slice(0, 20)) {
@@ -53,43 +53,43 @@
   }
 };
 
-const keepLogs = (folder: string, seed: number, result: SoakResult): void => {
-  const at = path.join(folder, `seed-${seed}`);
-  mkdirSync(at, { recursive: true });
+const writeLogs = (folder: string, seed: number, result: SoakResult): void => {
+  const seedFolder = path.join(folder, `seed-${seed}`);
+  mkdirSync(seedFolder, { recursive: true });
   for (const [id, lines] of result.logs) {
-    writeFileSync(path.join(at, `${id}.log`), lines.join("\n"));
+    writeFileSync(path.join(seedFolder, `${id}.log`), lines.join("\n"));
   }
   const records = JSON.stringify(result.records, null, 1);
-  writeFileSync(path.join(at, "records.json"), records);
+  writeFileSync(path.join(seedFolder, "records.json"), records);
 };
 
 const main = async (): Promise<number> => {
   const { options } = cli.parse();
   if (options.help) return 0;
-  const number = (name: string): number => {
+  const positiveInteger = (name: string): number => {
     const value = Number(options[name]);
     if (Number.isInteger(value) && value > 0) return value;
     throw new Error(`--${name} must be a whole number above 0`);
   };
   let failed = 0;
-  const first = number("from");
-  for (let at = 0; at < number("count"); at += 1) {
+  const first = positiveInteger("from");
+  for (let at = 0; at < positiveInteger("count"); at += 1) {
     const seed = first + at;
     const run: SoakOptions = {
       seed,
-      seconds: number("seconds"),
+      seconds: positiveInteger("seconds"),
       profile: profileOf(seed),
-      entries: number("entries"),
-      schedulers: number("schedulers"),
-      plain: number("plain"),
-      engines: number("engines"),
-      callers: number("callers"),
+      entries: positiveInteger("entries"),
+      schedulers: positiveInteger("schedulers"),
+      plain: positiveInteger("plain"),
+      engines: positiveInteger("engines"),
+      callers: positiveInteger("callers"),
     };
     const result = await runSoak(run);
     report(run, result);
     if (result.violations.length === 0) continue;
     failed += 1;
-    if (options.logs) keepLogs(String(options.logs), seed, result);
+    if (options.logs) writeLogs(String(options.logs), seed, result);
   }
   console.log(`${failed} seeds failed`);
   return failed > 0 ? 1 : 0;
--- a/soak/profile.ts
+++ b/soak/profile.ts
@@ -1,12 +1,15 @@
-/** Which faults a seed has. */
+/** Selects the fault profile of a seed. */
 import type { FaultProfile } from "./faults.js";
 
-/** Every third seed has planned work only, so that its promise is tested. */
+/**
+ * Every third seed has planned work only, to test the promise that planned work
+ * cuts nothing.
+ */
 const PLANNED_INTERVAL = 3;
-/** Of the others, those with this remainder have signals of replicas besides. */
+/** Of the other seeds, those with this remainder add replica signals. */
 const SIGNALS_INTERVAL = 5;
 const SIGNALS_REMAINDER = 4;
-/** Of the others, those with this remainder have limits of replicas besides. */
+/** Of the other seeds, those with this remainder add replica limits. */
 const LIMITS_INTERVAL = 10;
 const LIMITS_REMAINDER = 8;
 
--- a/soak/runSoak.ts
+++ b/soak/runSoak.ts
@@ -1,4 +1,4 @@
-/** One run of the soak: a seed in, records and violations out. */
+/** Runs the soak with one seed and returns its records and violations. */
 import { monotonicNow } from "../src/daemon/clock.js";
 import { seededRng } from "../src/shared/rng.js";
 import { probeAddedRoutes, SoakCaller } from "./callers.js";
@@ -11,7 +11,7 @@
 
 export interface SoakOptions extends FleetSizes {
   seed: number;
-  /** Time during which faults strike. */
+  /** Duration of fault injection, s. */
   seconds: number;
   callers: number;
   profile: FaultProfile;
@@ -28,20 +28,20 @@
 export interface SoakResult {
   records: SoakRecords;
   violations: Violation[];
-  /** Log lines by process. */
+  /** Log lines by process id. */
   logs: Map<string, readonly string[]>;
 }
 
 /** Pause between two faults, ms. */
 const FAULT_PAUSE = { min: 60, max: 500 };
-/** Calm traffic after the last fault, ms: what comes late is seen too. */
+/** Traffic without faults after the last one, ms, to catch late effects. */
 const FINAL_QUIET_MS = 1500;
 const MS_PER_SECOND = 1000;
 /** Interval between checks for event loop stalls, ms. */
 const STALL_CHECK_MS = 20;
 /** Shortest gap between two checks that is recorded as a stall, ms. */
 const MIN_STALL_MS = 60;
-/** Keeps the seeds of the parts apart. */
+/** Keeps the random sequences of the components distinct. */
 const SEED_STRIDE = 7919;
 
 /** Records event loop stalls until the returned function is called. */
@@ -58,7 +58,8 @@
 
 export const runSoak = async (options: SoakOptions): Promise<SoakResult> => {
   const { seed, seconds, profile } = options;
-  const rngOf = (part: number) => seededRng(seed * SEED_STRIDE + part);
+  const rngOf = (component: number) =>
+    seededRng(seed * SEED_STRIDE + component);
   const fleet = new SoakFleet(rngOf(0), monotonicNow);
   const onSignal = () => void fleet.stop().then(() => process.exit(1));
   process.once("SIGINT", onSignal).once("SIGTERM", onSignal);
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -1,6 +1,7 @@
 /**
- * Whether what replicas say of themselves was heeded, by entry: which entry
- * sent a request is known from its caller. Pure: records in, violations out.
+ * Checks that each entry respects what replicas signal: limits, back-offs and
+ * leaving. The record of the caller tells which entry sent a request. Pure
+ * functions from records to violations.
  */
 import { judgeRate } from "../platform/standins/rateJudge.js";
 import type { ToldSignals } from "../platform/standins/replica.js";
@@ -13,27 +14,34 @@
 
 type Check = (records: SoakRecords) => Violation[];
 
-/** The users' bounds on limits. */
+/** Bounds for the check of rate limits, as the users require. */
 const RATE_BOUNDS = { contactMs: 3000, windowMs: 4000 };
-/** What befell an entry or the way to a replica excuses it for this, ms. */
+/**
+ * Requests are exempt for this long after a fault of the entry or of the link
+ * to the replica, ms.
+ */
 const FAULT_RECOVERY_MS = 3000;
-/** What an answer says binds the entry that it went through after this, ms. */
+/** An entry must apply the signals of an answer after this time, ms. */
 const SIGNAL_DELAY_MS = 500;
-/** Requests of one entry within a back-off that was asked of it. */
+/** Most requests of one entry within a back-off that it was asked for. */
 const MAX_REQUESTS_IN_BACK_OFF = 2;
-/** A replica that says it leaves may still be sent to for this, ms. */
+/** A replica may still receive requests for this long after it says that it
+ * leaves, ms. */
 const LEAVING_GRACE_MS = 2000;
 const MS_PER_SECOND = 1000;
 const SECONDS = /^\d+(\.\d+)?$/;
 
-/** An arrival, and the life of the entry that sent it. */
+/** An arrival with the entry process that sent it. */
 interface SentRequest extends ArrivalRecord {
   entry: string;
-  /** When its caller sent it. */
+  /** When the caller sent it. */
   askedAt: number;
 }
 
-/** By replica, in order of time; of no known caller: left out. */
+/**
+ * Arrivals by replica, in order of time. Leaves out those without a known
+ * caller.
+ */
 const requestsByReplica = ({
   arrivals,
   calls,
@@ -52,7 +60,7 @@
   return found;
 };
 
-/** Faults that excuse the process, or the way to the replica, that they strike. */
+/** Faults that exempt the process or the replica link that they hit. */
 const EXEMPTING_FAULTS: readonly string[] = [
   "process killed",
   "process paused",
@@ -60,15 +68,15 @@
   "replica link",
 ];
 
-/** Whether the entry or the way to the replica was harmed shortly before. */
+/** Whether a fault hit the entry or the replica link shortly before. */
 const isExempt = (
   { faults }: SoakRecords,
   { entry, replica, at }: SentRequest,
 ): boolean => {
-  const struck = [entry.split("/")[0], replica];
+  const targets = [entry.split("/")[0], replica];
   return faults.some(
     ({ name, target, from, until }) =>
-      struck.includes(target) &&
+      targets.includes(target) &&
       EXEMPTING_FAULTS.includes(name) &&
       from <= at &&
       until + FAULT_RECOVERY_MS >= at,
@@ -98,8 +106,8 @@
 };
 
 /**
- * By life of an entry: when a caller first received the headers of an answer
- * that the replica signed and that named a limit.
+ * By entry process: when a caller first received the headers of an answer that
+ * the replica signed and that named a limit.
  */
 const firstForwardedLimit = (
   { calls, probes, stalls }: SoakRecords,
@@ -117,7 +125,7 @@
   return forwarded;
 };
 
-/** When the first answer that said it left for each life of an entry. */
+/** When the replica first sent the signal to each entry process. */
 const firstSignalled = (
   sent: readonly SentRequest[],
   says: (told: ToldSignals) => boolean,
--- a/soak/types.ts
+++ b/soak/types.ts
@@ -1,12 +1,12 @@
-/** What the soak writes down while it runs, and what it finds in it. */
+/** Records that a soak run collects, and the violations found in them. */
 import type { ToldSignals } from "../platform/standins/replica.js";
 
-/** What callers may send: plain requests and streams. */
+/** Kinds of request that callers send: plain requests and streams. */
 export const CALL_KINDS = ["safe", "unsafe", "resumable", "draft"] as const;
 
 export type CallKind = (typeof CALL_KINDS)[number];
 
-/** How often a request of a kind may run. */
+/** Whether a request of the kind may run more than once. */
 export const IS_RETRYABLE: Readonly<Record<CallKind, boolean>> = {
   safe: true,
   unsafe: false,
@@ -14,7 +14,7 @@
   draft: false,
 };
 
-/** Which kinds are answered by a stream of events. */
+/** Whether the answer to a request of the kind is a stream of events. */
 export const IS_STREAM: Readonly<Record<CallKind, boolean>> = {
   safe: false,
   unsafe: false,
@@ -22,37 +22,37 @@
   draft: true,
 };
 
-/** One request as its caller saw it. Times are ms of one clock. */
+/** One request as its caller saw it. Times are ms of the shared clock. */
 export interface CallRecord {
   id: string;
   kind: CallKind;
-  /** Entry process, and which of its lives. */
+  /** Entry process and how many times it had been started. */
   entry: string;
   life: number;
   sentAt: number;
   /** When the response headers arrived; undefined if none did. */
   headAt: number | undefined;
   endedAt: number;
-  /** 0: no head came. */
+  /** HTTP status; 0 if no response headers arrived. */
   status: number;
-  /** Whether the answer ended as its framing says. */
+  /** Whether the answer was received up to the end of its framing. */
   isWhole: boolean;
-  /** Request id that the answer names. */
+  /** Request id in the headers of the answer. */
   answerId: string | undefined;
-  /** Replica whose signature the answer bears. */
+  /** Replica that signed the answer. */
   signedBy: string | undefined;
-  /** Replica that the body names; plain answers only. */
+  /** Replica named in the body; plain answers only. */
   bodyBy: string | undefined;
-  /** Ids of the events that came, in order; streams only. */
+  /** Ids of the received events, in order; streams only. */
   events: number[];
 }
 
-/** One question for a route that a configuration added. */
+/** One request to a route that a configuration version added. */
 export interface ProbeRecord {
   id: string;
   entry: string;
   life: number;
-  /** Configuration that added the route. */
+  /** Configuration version that added the route. */
   version: number;
   sentAt: number;
   /** When the response headers arrived; undefined if none did. */
@@ -63,14 +63,14 @@
   signedBy: string | undefined;
 }
 
-/** A request that began to run at a replica. */
+/** A request that a replica started to run. */
 export interface RunRecord {
   requestId: string;
   replica: string;
   at: number;
 }
 
-/** A request that reached a replica, also one that it turned away. */
+/** A request that reached a replica, including one that it refused. */
 export interface ArrivalRecord {
   requestId: string;
   replica: string;
@@ -78,14 +78,17 @@
   told: ToldSignals;
 }
 
-/** From then on a replica names this limit; undefined: none. */
+/**
+ * The limit in requests per second that a replica announces from `at` on;
+ * undefined: none.
+ */
 export interface LimitRecord {
   replica: string;
   at: number;
   perS: number | undefined;
 }
 
-/** An order that a replica took. */
+/** An order that a replica accepted. */
 export interface OrderRecord {
   replica: string;
   holder: string;
@@ -93,29 +96,29 @@
   at: number;
 }
 
-/** When and how the soak did harm. */
+/** One injected fault. */
 export interface FaultRecord {
   name: string;
-  /** Which of several ways; empty where there is one. */
+  /** Variant of the fault; empty if it has only one. */
   variant: string;
-  /** What it struck. */
+  /** Process, replica or other component that the fault hits. */
   target: string;
   from: number;
-  /** `Infinity` while it lasts. */
+  /** `Infinity` while the fault lasts. */
   until: number;
-  /** Planned work, such as a stop by SIGTERM, must cut nothing. */
+  /** Planned work, such as a stop by SIGTERM, must not cut any request. */
   isPlanned: boolean;
 }
 
-/** A change that everybody must know of after a while. */
+/** A change that must reach every process within a bounded time. */
 export interface ChangeRecord {
   kind: "configuration" | "leaving";
-  /** Version, or replica that leaves. */
+  /** Configuration version, or id of the leaving replica. */
   subject: string;
   at: number;
 }
 
-/** A stall of the event loop that the callers and replicas share. */
+/** A stall of the event loop that callers and replicas share. */
 export interface StallRecord {
   from: number;
   until: number;
@@ -133,7 +136,7 @@
   stalls: StallRecord[];
 }
 
-/** A promise that did not hold. */
+/** A broken promise. */
 export interface Violation {
   promise: string;
   what: string;
