--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -1,6 +1,6 @@
 /**
- * Goodput under a shifting mix, with real processes and engine stand-ins of
- * stated rates, beside the baselines, in one run.
+ * Compares the goodput of routing policies under a shifting request mix, with
+ * real processes and engine stand-ins of fixed speed.
  *
  * node dist/bench/decisions.js [traces] [faults] [policies] [seeds]
  */
@@ -26,7 +26,7 @@
 const DEADLINE_MS_BY_CLASS: Record<string, number> = Object.fromEntries(
   CLASSES.map((item) => [item.name, item.deadlineMs]),
 );
-/** Rates of the engine stand-in. */
+/** Options of the engine stand-in. */
 const ENGINE_OPTIONS = {
   prefillTokensPerSecond: 8000,
   stepMs: 12,
@@ -36,7 +36,7 @@
   cacheBlocks: 256,
   orderMs: 1500,
 };
-/** Catalogue weighs goodput more, Kilima few role changes. */
+/** Catalogue favours goodput, Kilima favours few role changes. */
 const CHANGE_COST: Record<string, number> = {
   catalogue: 0.05,
   kilima: 0.2,
@@ -164,7 +164,7 @@
 
 const DETAIL_WINDOW_MS = 1500;
 
-/** Failures by window and class, to find what a figure hides. */
+/** Prints outcomes by time window and class, to explain an overall figure. */
 const printDetail = (
   trace: TraceRequest[],
   outcomes: CompletionOutcome[],
--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -1,4 +1,4 @@
-/** The main job: a small deployment, real requests, answers and goodput. */
+/** Demo: starts a small deployment, sends requests, prints answers and goodput. */
 import OpenAI from "openai";
 
 import { exchange } from "../src/http/index.js";
--- a/bench/faults.ts
+++ b/bench/faults.ts
@@ -1,6 +1,7 @@
 /**
- * Faults at random under load: what callers were told against what upstreams
- * recorded, and the time from a fault to serving again.
+ * Injects random faults under load. Compares what callers were told with what
+ * upstreams recorded, and measures the time from a fault until requests are
+ * served again.
  *
  * node dist/bench/faults.js [seconds] [seed] [faults-only]
  */
@@ -54,7 +55,8 @@
   const both = { proxied: true, proxiedUpstream: true };
   return Fleet.start({
     entries: 2,
-    // Never-repeat requests take two calls each: more than the usual budget.
+    // Requests that must not repeat take two calls each, which exceeds the
+    // default budget.
     callsPerSecond: 400,
     objectApi: { writesPerSecond: 1000 },
     services: [MODEL_SERVICE, PLAIN_SERVICE],
@@ -68,7 +70,7 @@
 const codeOf = (body: string): string =>
   /"code":"([a-z_]+)"/.exec(body)?.[1] ?? "none";
 
-/** Each key is sent once or more, by both entries. */
+/** Sends each key once or twice, the second time through the other entry. */
 const sendReservations = async (
   fleet: Fleet,
   sender: number,
@@ -77,8 +79,8 @@
 ): Promise<void> => {
   for (let index = 0; !isFinished(); index += 1) {
     const key = `key-${sender}-${index}`;
-    const tries = rng() < 0.5 ? 2 : 1;
-    for (let at = 0; at < tries; at += 1) {
+    const attempts = rng() < 0.5 ? 2 : 1;
+    for (let at = 0; at < attempts; at += 1) {
       const told = await reserve(fleet.entryUrl(at), key);
       const { status, verdict } = told;
       counts.reservations.push({
@@ -143,7 +145,7 @@
   for (const told of counts.reservations) {
     answersByKey.set(told.key, [...(answersByKey.get(told.key) ?? []), told]);
   }
-  // A key whose every try was told not-run must not have run at all.
+  // If every attempt of a key was answered not-run, the key must not have run.
   const falseNotRun = [...answersByKey].filter(
     ([key, all]) =>
       all.every((told) => told.verdict === "not-run") && ran(key) > 0,
@@ -212,11 +214,11 @@
 
 const formatDurations = (values: number[]): string => {
   const [p50, p95] = percentiles(values);
-  const most = Math.max(...values);
-  return `${p50.toFixed(0)} / ${p95.toFixed(0)} / ${most.toFixed(0)} ms`;
+  const max = Math.max(...values);
+  return `${p50.toFixed(0)} / ${p95.toFixed(0)} / ${max.toFixed(0)} ms`;
 };
 
-/** Time until another entry holds the leases of a killed one. */
+/** Times from killing a lease holder until another entry holds its lease, ms. */
 const measureTakeovers = async (): Promise<number[]> => {
   const times: number[] = [];
   const fleet = await Fleet.start({
@@ -245,7 +247,7 @@
   return times;
 };
 
-/** Longest time without an answer around the kill of one of two sides. */
+/** Times from killing one of two sides until the next answer, ms. */
 const measureSideKills = async (): Promise<number[]> => {
   const times: number[] = [];
   const fleet = await Fleet.start({
--- a/bench/gatewayLoad.ts
+++ b/bench/gatewayLoad.ts
@@ -1,6 +1,6 @@
 /**
- * Processor time of one gateway process: a given rate of requests to model
- * engines and plain replicas that are stand-ins in this process.
+ * Measures the processor time of one gateway process under a fixed request rate.
+ * The model engines and plain replicas are stand-ins in this process.
  *
  * Usage: node dist/bench/gatewayLoad.js [requests per second] [seconds]
  */
--- a/bench/hops.ts
+++ b/bench/hops.ts
@@ -1,6 +1,6 @@
 /**
- * What entry and side add against a direct call to the same upstream,
- * paired in one run: latency, processor time, idle memory.
+ * Measures the overhead of entry and side compared with direct calls to the same
+ * upstream in the same run: latency, processor time and idle memory.
  */
 import Table from "cli-table3";
 
@@ -22,8 +22,8 @@
 const STREAMS = 40;
 const STREAM_TOKENS = 400;
 const WARM_UP_REQUESTS = 200;
-const MS_PER_SECOND = 1000;
-const US_PER_MS = 1000;
+/** Converts seconds to ms, and ms to µs. */
+const PER_MILLI = 1000;
 
 const timeRequest = async (url: string): Promise<number> => {
   const startedAt = performance.now();
@@ -36,20 +36,19 @@
   return performance.now() - startedAt;
 };
 
-/** Sends both ways in turn at a steady rate. */
+/** Alternates direct and proxied requests at a steady rate; times in ms. */
 const measurePaired = async (direct: string, through: string) => {
   const times = { direct: [] as number[], through: [] as number[] };
   const all: Promise<void>[] = [];
   const startedAt = performance.now();
   for (let at = 0; at < REQUESTS_PER_SECOND * SECONDS; at += 1) {
     const due =
-      (at / REQUESTS_PER_SECOND) * MS_PER_SECOND -
-      (performance.now() - startedAt);
+      (at / REQUESTS_PER_SECOND) * PER_MILLI - (performance.now() - startedAt);
     if (due > 0) await new Promise((resolve) => setTimeout(resolve, due));
     const isDirect = at % 2 === 0;
-    const way = isDirect ? times.direct : times.through;
+    const target = isDirect ? times.direct : times.through;
     const one = timeRequest(isDirect ? direct : through);
-    all.push(one.then((time) => void way.push(time)));
+    all.push(one.then((time) => void target.push(time)));
   }
   await Promise.all(all);
   return times;
@@ -86,10 +85,11 @@
   const times = await measurePaired(direct, through);
   const sent = times.through.length;
   const perRequest = {
-    entry: ((cpuMs(entry) - before.entry) / sent) * US_PER_MS,
-    side: ((cpuMs(stockSide) - before.side) / sent) * US_PER_MS,
-    // It answers the direct ones as well: one hop of Node http, no work.
-    stock: ((cpuMs(stock) - before.stock) / (2 * sent)) * US_PER_MS,
+    entry: ((cpuMs(entry) - before.entry) / sent) * PER_MILLI,
+    side: ((cpuMs(stockSide) - before.side) / sent) * PER_MILLI,
+    // The upstream also answers the direct requests. It does no work, so this is
+    // the cost of one hop of Node http.
+    stock: ((cpuMs(stock) - before.stock) / (2 * sent)) * PER_MILLI,
   };
   const beforeStreams = { entry: cpuMs(entry), side: cpuMs(side) };
   const outcomes = await Promise.all(
@@ -105,8 +105,8 @@
   const whole = outcomes.filter((item) => item.isWhole).length;
   const tokens = whole * STREAM_TOKENS;
   const perToken = {
-    entry: ((cpuMs(entry) - beforeStreams.entry) / tokens) * US_PER_MS,
-    side: ((cpuMs(side) - beforeStreams.side) / tokens) * US_PER_MS,
+    entry: ((cpuMs(entry) - beforeStreams.entry) / tokens) * PER_MILLI,
+    side: ((cpuMs(side) - beforeStreams.side) / tokens) * PER_MILLI,
   };
   const [d50, d95, d99] = percentiles(times.direct);
   const [t50, t95, t99] = percentiles(times.through);
--- a/bench/idle.ts
+++ b/bench/idle.ts
@@ -1,6 +1,6 @@
 /**
- * What control costs a process that serves nothing: processor time, memory,
- * calls of the object API, bytes between peers.
+ * Measures what the control plane costs while no requests are served: processor
+ * time, memory, object API calls and bytes between peers.
  *
  * node dist/bench/idle.js [seconds]
  */
@@ -59,7 +59,7 @@
   const bytes = loopbackBytes() - before.bytes;
   const after = await counters(fleet);
   const table = new Table({ head: ["figure", "value"], style: { head: [] } });
-  const percent = (now: number, then: number, count: number) =>
+  const coreFraction = (now: number, then: number, count: number) =>
     `${((now - then) / (SECONDS * MS_PER_SECOND * count)).toFixed(4)} of a core`;
   const calls = ["reads", "writes", "watches"].map((name) => {
     const made = (after[name] ?? 0) - (before.calls[name] ?? 0);
@@ -69,8 +69,8 @@
   const mean = (pids: number[]) =>
     pids.reduce((total, pid) => total + residentMb(pid), 0) / pids.length;
   table.push(
-    ["entry", percent(sum(entries), before.entries, entries.length)],
-    ["side", percent(sum(sides), before.sides, sides.length)],
+    ["entry", coreFraction(sum(entries), before.entries, entries.length)],
+    ["side", coreFraction(sum(sides), before.sides, sides.length)],
     ["entry, resident", `${mean(entries).toFixed(0)} MB`],
     ["side, resident", `${mean(sides).toFixed(0)} MB`],
     ["object API, all processes", calls.join(", ")],
--- a/bench/lib/caller.ts
+++ b/bench/lib/caller.ts
@@ -1,4 +1,4 @@
-/** A caller of benches: one streamed request with its times. */
+/** Bench client: sends one streamed request and measures its latencies. */
 import http from "node:http";
 import { createParser } from "eventsource-parser";
 
@@ -7,7 +7,7 @@
 export interface CompletionOutcome {
   status: number;
   isWhole: boolean;
-  /** From sending to the first token, ms; 0: none came. */
+  /** Time from sending to the first token, ms; 0 if none arrived. */
   firstTokenMs: number;
   /** Times between tokens, ms. */
   gapsMs: number[];
--- a/bench/lib/figures.ts
+++ b/bench/lib/figures.ts
@@ -1,9 +1,12 @@
-/** Percentiles and shares of bench results. */
+/** Statistics of bench results. */
 import { build } from "hdr-histogram-js";
 
 const MAX_TRACKABLE_US = 3_600_000_000;
 
-/** p50, p95 and p99 of values in ms, to a microsecond. */
+/**
+ * p50, p95 and p99 of values in ms. Values are rounded to whole microseconds and
+ * kept to three significant digits.
+ */
 export const percentiles = (values: number[]): [number, number, number] => {
   const histogram = build({
     highestTrackableValue: MAX_TRACKABLE_US,
@@ -12,19 +15,19 @@
   for (const value of values) {
     histogram.recordValue(Math.max(1, Math.round(value * 1000)));
   }
-  const at = (percent: number) =>
+  const valueAt = (percent: number) =>
     histogram.getValueAtPercentile(percent) / 1000;
-  return [at(50), at(95), at(99)];
+  return [valueAt(50), valueAt(95), valueAt(99)];
 };
 
-/** Jain's index: 1 where all shares are equal, 1/n where one has all. */
+/** Jain's fairness index: 1 if all shares are equal, 1/n if one has all. */
 export const fairness = (shares: number[]): number => {
   const sum = shares.reduce((total, share) => total + share, 0);
   const squares = shares.reduce((total, share) => total + share * share, 0);
   return squares === 0 ? 1 : (sum * sum) / (shares.length * squares);
 };
 
-/** Mean of several seeds, with the least and the largest. */
+/** Formats the mean over several seeds with the minimum and maximum. */
 export const formatMeanAndRange = (values: number[]): string => {
   const sum = values.reduce((total, value) => total + value, 0);
   const mean = (sum / values.length).toFixed(3);
--- a/bench/lib/traces.ts
+++ b/bench/lib/traces.ts
@@ -1,6 +1,6 @@
 /**
- * Seeded traces of requests. Sizes are in tokens; a manual or log is a long
- * text that many requests share, a question is the requester's own.
+ * Seeded request traces. Sizes are in tokens. A manual is a long text that many
+ * requests share; a question belongs to one request.
  */
 import { seededRng } from "../../src/shared/rng.js";
 import type { Rng } from "../../src/shared/rng.js";
@@ -11,21 +11,21 @@
   at: number;
   className: "confirm" | "lookup" | "draft";
   workspace: string;
-  /** Shared text that the prompt starts with; -1: none. */
+  /** Index of the shared text that the prompt starts with; -1: none. */
   manual: number;
   manualTokens: number;
   questionTokens: number;
   outputTokens: number;
 }
 
-/** A part of a trace in which the mix stays as it is. */
+/** A period of a trace with a constant mix of requests. */
 interface Phase {
   untilMs: number;
-  /** Requests a second with long shared prompts and one-word answers. */
+  /** Requests per second with long shared prompts and one-word answers. */
   longPerSecond: number;
-  /** Requests a second with short prompts and long answers. */
+  /** Requests per second with short prompts and long answers. */
   draftsPerSecond: number;
-  /** Urgent confirmations a second. */
+  /** Urgent confirmations per second. */
   urgentPerSecond: number;
 }
 
@@ -38,7 +38,7 @@
 
 const MS_PER_SECOND = 1000;
 const WORKSPACES = ["bus-depot", "rail-depot", "workshops", "fleets"];
-/** One workspace sends this share of all, the others the rest. */
+/** Share of requests from the first workspace; the others split the rest. */
 const DOMINANT_WORKSPACE_SHARE = 0.55;
 
 export const TRACES: Record<string, TraceSpec> = {
@@ -107,14 +107,14 @@
   return WORKSPACES[at] as string;
 };
 
-/** Some manuals are asked for much more often than others. */
+/** Draws a manual index from a skewed distribution that favours low indices. */
 const drawManual = (rng: Rng, manuals: number): number =>
   Math.floor(manuals * rng() ** 1.5);
 
 const drawInteger = (rng: Rng, low: number, high: number): number =>
   Math.round(low + rng() * (high - low));
 
-/** All requests of a trace, in order of time. */
+/** Generates all requests of a trace, in order of time. */
 export const generateTrace = (
   spec: TraceSpec,
   seed: number,
@@ -168,7 +168,7 @@
   return unit.repeat(Math.ceil(length / unit.length)).slice(0, length);
 };
 
-/** The prompt of a request. */
+/** Builds the prompt text of a request. */
 export const promptOf = (request: TraceRequest, index: number): string => {
   const question = fillerText(`question-${index}`, request.questionTokens);
   if (request.manual < 0) return question;
--- a/bench/player/clock.ts
+++ b/bench/player/clock.ts
@@ -1,18 +1,20 @@
-/** Virtual time: actions in the order of their instants, ms. */
+/** Virtual clock, ms: runs scheduled actions in order of time. */
 import { Heap } from "heap-js";
 
 interface ScheduledAction {
   at: number;
-  /** Keeps the order of what is planned for one instant. */
+  /** Breaks ties: actions for the same time run in scheduling order. */
   sequence: number;
   act: () => void;
 }
 
-const isBefore = (left: ScheduledAction, right: ScheduledAction): number =>
-  left.at - right.at || left.sequence - right.sequence;
+const compareActions = (
+  left: ScheduledAction,
+  right: ScheduledAction,
+): number => left.at - right.at || left.sequence - right.sequence;
 
 export class VirtualClock {
-  private readonly scheduled = new Heap<ScheduledAction>(isBefore);
+  private readonly scheduled = new Heap<ScheduledAction>(compareActions);
   private sequence = 0;
   now = 0;
 
@@ -22,7 +24,7 @@
     this.scheduled.push({ at, sequence: this.sequence, act });
   }
 
-  /** Runs until nothing is left, or until `untilMs`. */
+  /** Runs actions until none is left or the next is due after `untilMs`. */
   run(untilMs: number): void {
     for (;;) {
       const next = this.scheduled.pop();
--- a/bench/player/engineModel.ts
+++ b/bench/player/engineModel.ts
@@ -1,7 +1,7 @@
 /**
- * A small model of one engine in virtual time: reads prompts one after the
- * other, makes tokens for all runs in steps, keeps parts of prompts, changes
- * its stage. Times are ms.
+ * A simple model of one engine in virtual time. It prefills prompts one after
+ * the other, decodes tokens for all runs in steps, caches parts of prompts and
+ * can change its stage. Times are ms.
  */
 import { LRUCache } from "lru-cache";
 
@@ -11,21 +11,21 @@
 
 const PAIRS_PER_M = 1e6;
 const TOKENS_PER_K = 1000;
-/** An engine that makes tokens reads at half the pace. */
+/** A decode engine takes twice as long to prefill. */
 const DECODE_PREFILL_FACTOR = 2;
-/** Part of the memory that is left for cached parts. */
+/** Fraction of the KV memory that is available for cached prompt parts. */
 const CACHE_FRACTION = 0.8;
 
 export class EngineModel {
   private readonly cache: LRUCache<string, number>;
   private prefillFreeAt = 0;
   runs = 0;
-  /** Prompt and output tokens that the current runs hold in memory. */
+  /** Prompt and output tokens that the current runs hold in KV memory. */
   runTokens = 0;
   isDown = false;
-  /** Set while it lets its runs end and changes. */
+  /** Target stage while the engine drains its runs and changes stage. */
   changingTo: Stage | undefined;
-  /** Grows with each crash: what was begun before is lost. */
+  /** Increases with each crash; work of earlier incarnations is lost. */
   incarnation = 0;
   slowdown = 1;
 
@@ -66,32 +66,35 @@
     for (const { id, tokens } of parts) this.cache.set(id, tokens);
   }
 
-  /** Reads a prompt after those before it; gives the instant of its end. */
+  /**
+   * Queues the prefill of a prompt behind earlier ones; returns the time at which
+   * it ends.
+   */
   prefill(
     parts: readonly CachePart[],
     promptTokens: number,
     donor: EngineModel | undefined,
     now: number,
   ): number {
-    const own = this.cachedTokens(parts);
-    const offered = donor?.isDown === false ? donor.cachedTokens(parts) : 0;
-    const held = Math.max(own, offered);
-    const moveMs = (held - own) * this.spec.moveMsPerToken;
+    const ownCached = this.cachedTokens(parts);
+    const donorCached = donor?.isDown === false ? donor.cachedTokens(parts) : 0;
+    const held = Math.max(ownCached, donorCached);
+    const moveMs = (held - ownCached) * this.spec.moveMsPerToken;
     const tookMs = moveMs + this.prefillMs(promptTokens, held);
     this.prefillFreeAt = Math.max(now, this.prefillFreeAt) + tookMs;
     this.addToCache(parts);
     return this.prefillFreeAt;
   }
 
-  /** Time between two events of a run, at the present load. */
+  /** Time between two events of a run at the current load. */
   eventMs(tokensPerEvent: number): number {
     const { stepMs, stepMsPerRun, stepMsPerKToken } = this.spec;
     const runTokensMs = (stepMsPerKToken * this.runTokens) / TOKENS_PER_K;
     const totalStepMs = stepMs + stepMsPerRun * this.runs + runTokensMs;
-    return tokensPerEvent * totalStepMs * this.pace;
+    return tokensPerEvent * totalStepMs * this.slownessFactor;
   }
 
-  private get pace(): number {
+  private get slownessFactor(): number {
     return this.slowness * this.slowdown;
   }
 
@@ -100,6 +103,10 @@
     const tokens = Math.max(0, promptTokens - held);
     const mPairs = (tokens * (held + tokens / 2)) / PAIRS_PER_M;
     const factor = this.stage === "decode" ? DECODE_PREFILL_FACTOR : 1;
-    return (fixedMs + tokens * tokenMs + mPairs * mPairMs) * factor * this.pace;
+    return (
+      (fixedMs + tokens * tokenMs + mPairs * mPairMs) *
+      factor *
+      this.slownessFactor
+    );
   }
 }
--- a/bench/player/fleet.ts
+++ b/bench/player/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The modelled engines of a load with what strikes them, and the scheduler
- * and planner of the product in front of them.
+ * The modelled engines of a load and their faults, driven by the real scheduler
+ * and stage planner.
  */
 import {
   EngineScheduler,
@@ -17,21 +17,22 @@
 import type { Fault, Load } from "./load.js";
 
 const MS_PER_SECOND = 1000;
-/** As the holder of the lease does it, ms. */
+/** Interval between answers to queued requests, as in the lease holder, ms. */
 const QUEUE_INTERVAL_MS = 5;
+/** Interval between runs of the stage planner, as in the lease holder, ms. */
 const PLAN_INTERVAL_MS = 300;
 const MAX_ORDERS_PER_STEP = 4;
-/** From a change at an engine until the list of engines shows it, ms. */
+/** Delay until the engine list shows a change of an engine, ms. */
 const LISTING_DELAY_MS = 100;
-/** From a crash until the list lacks the engine, ms. */
+/** Delay until a crashed engine is removed from the engine list, ms. */
 const CRASH_LISTING_DELAY_MS = 2500;
-/** How often an engine that changes looks whether its runs have ended, ms. */
+/** Interval at which a draining engine checks whether its runs ended, ms. */
 const DRAIN_POLL_MS = 20;
 
-/** Engines and what decides are up for so long before the first request, ms. */
+/** Engines and scheduler run for this long before the first request, ms. */
 export const WARM_UP_MS = 8000;
 
-/** Engines of each stage at an instant. */
+/** Number of engines of each stage at one time. */
 export interface StageCount {
   atMs: number;
   prefill: number;
@@ -43,24 +44,24 @@
   readonly scheduler = new EngineScheduler(() => 1);
   readonly stages: StageCount[] = [];
   changes = 0;
-  /** Most runs of an engine that the scheduler did not count. */
+  /** Largest number of runs on one engine that the scheduler did not count. */
   maxUncountedRuns = 0;
   private readonly demand = new StageDemand();
   private readonly changing = new Map<string, Stage>();
   private readonly changedAt = { prefill: -Infinity, decode: -Infinity };
-  /** Engines that the list lacks. */
+  /** Ids of engines that are missing from the engine list. */
   private readonly unlisted = new Set<string>();
 
   constructor(
     private readonly load: Load,
     private readonly clock: VirtualClock,
-    /** Gets the answers of requests that waited. */
+    /** Receives the answers to queued requests. */
     private readonly onQueuedAnswer: (settled: QueuedAnswer) => void,
   ) {
     const { count, prefillShare, slowness } = load.engines;
-    const readers = Math.max(1, Math.round(count * prefillShare));
+    const prefillEngines = Math.max(1, Math.round(count * prefillShare));
     for (let at = 0; at < count; at += 1) {
-      const stage = at < readers ? "prefill" : "decode";
+      const stage = at < prefillEngines ? "prefill" : "decode";
       const slow = slowness[at % slowness.length] ?? 1;
       this.engines.push(
         new EngineModel(`engine-${at}`, stage, load.engines, slow),
@@ -81,13 +82,13 @@
   }
 
   private every(periodMs: number, act: () => void): void {
-    const again = (): void => {
+    const runAndReschedule = (): void => {
       act();
       if (this.clock.now < WARM_UP_MS + this.load.seconds * MS_PER_SECOND) {
-        this.clock.after(periodMs, again);
+        this.clock.after(periodMs, runAndReschedule);
       }
     };
-    this.clock.after(periodMs, again);
+    this.clock.after(periodMs, runAndReschedule);
   }
 
   private updateListing(): void {
@@ -171,15 +172,15 @@
 
   private drainThenChange(engine: EngineModel, to: Stage): void {
     const { incarnation } = engine;
-    const look = (): void => {
+    const checkDrained = (): void => {
       if (engine.incarnation !== incarnation) return;
-      if (engine.runs > 0) return this.clock.after(DRAIN_POLL_MS, look);
+      if (engine.runs > 0) return this.clock.after(DRAIN_POLL_MS, checkDrained);
       this.clock.after(this.load.engines.changeMs, () => {
         if (engine.incarnation === incarnation)
           this.finishStageChange(engine, to);
       });
     };
-    look();
+    checkDrained();
   }
 
   private finishStageChange(engine: EngineModel, to: Stage): void {
@@ -193,10 +194,10 @@
   }
 
   private injectFault(fault: Fault): void {
-    const struck = this.engines
+    const targets = this.engines
       .filter((item) => !item.isDown && item.stage === fault.stage)
       .slice(0, fault.engines);
-    for (const engine of struck) {
+    for (const engine of targets) {
       if (fault.kind === "crash")
         this.crash(engine, fault.forS * MS_PER_SECOND);
       else this.slow(engine, fault.times, fault.forS * MS_PER_SECOND);
--- a/bench/player/load.ts
+++ b/bench/player/load.ts
@@ -1,4 +1,4 @@
-/** Loads for the player: what callers ask for, of which engines, with which faults. */
+/** Load definitions for the player: requests, engines and faults. */
 import { z } from "zod/v4";
 
 import { parseCheckedYaml, readText } from "../../src/settings/index.js";
@@ -9,24 +9,24 @@
 
 const engineSchema = z.strictObject({
   count: z.int().positive(),
-  /** Share of them that read prompts at the start. */
+  /** Share of the engines that start in the prefill stage. */
   prefillShare: z.number().min(0).max(1),
   slots: z.int().positive(),
   kvCapacityTokens: z.int().positive(),
-  /** Time to read: fixed, a token, a million pairs, ms. */
+  /** Prefill time: fixed, per token, per million token pairs, ms. */
   fixedMs: z.number().nonnegative(),
   tokenMs: positive,
   mPairMs: z.number().nonnegative(),
-  /** One step of all runs, and what each run adds, ms. */
+  /** Duration of a decode step, and what each run adds to it, ms. */
   stepMs: positive,
   stepMsPerRun: z.number().nonnegative(),
   /** Added to a step per 1,000 tokens that the runs hold in memory, ms. */
   stepMsPerKToken: z.number().nonnegative().default(0),
   /** To move one cached token between engines, ms. */
   moveMsPerToken: z.number().nonnegative(),
-  /** A change of stage takes so long once its runs have ended, ms. */
+  /** Duration of a stage change after the runs have ended, ms. */
   changeMs: positive,
-  /** Times over that of the others, by engine in turn. */
+  /** Slowdown factors, assigned to the engines in turn. */
   slowness: z.array(positive).min(1),
 });
 
@@ -35,7 +35,7 @@
   perSecond: positive,
   priority: count,
   ownTokens: positive,
-  /** Parts that requests share: how many there are, tokens of each. */
+  /** Shared prompt parts: number of variants, and tokens of each. */
   shared: z.array(
     z.strictObject({ count: z.int().positive(), tokens: z.int().positive() }),
   ),
@@ -47,9 +47,9 @@
   guessSpread: z.number().min(1).default(1),
   objectiveMs: positive,
   deadlineMs: positive,
-  /** Longest good pause between two events, ms. */
+  /** Longest acceptable pause between two events, ms. */
   gapMs: positive,
-  /** Times with more, or fewer, of them. */
+  /** Periods in which the rate is multiplied by `times`. */
   bursts: z.array(
     z.strictObject({ fromS: z.number(), toS: z.number(), times: positive }),
   ),
@@ -60,7 +60,7 @@
     kind: z.literal("crash"),
     atS: z.number(),
     forS: positive,
-    /** That many engines of the stage. */
+    /** Number of engines of the stage that are hit. */
     engines: z.int().positive(),
     stage: z.enum(["prefill", "decode"]),
   }),
@@ -76,7 +76,7 @@
 
 const loadSchema = z.strictObject({
   seconds: positive,
-  /** One way between processes, ms. */
+  /** One-way latency between processes, ms. */
   hopMs: positive,
   engines: engineSchema,
   kinds: z.array(kindSchema).min(1),
@@ -88,7 +88,7 @@
 export type Kind = z.infer<typeof kindSchema>;
 export type Fault = z.infer<typeof faultSchema>;
 
-/** One request as it is drawn. */
+/** One randomly generated request. */
 export interface DrawnRequest {
   at: number;
   kind: Kind;
@@ -105,7 +105,7 @@
 /** Sizes are spread by up to this factor either way. */
 const SIZE_SPREAD = 2.2;
 
-/** Throws `InvalidInputError` with file and line. */
+/** Reads a load file. Throws `InvalidInputError` with file and line. */
 export const readLoad = (file: string): Load =>
   parseCheckedYaml(file, readText(file), loadSchema);
 
@@ -114,34 +114,34 @@
     .filter(({ fromS, toS }) => second >= fromS && second < toS)
     .reduce((rate, { times }) => rate * times, perSecond);
 
-/** Spread evenly in the logarithm around `mean`. */
-const spreadAround = (mean: number, rng: Rng, spread = SIZE_SPREAD): number =>
+/** Draws from a log-uniform distribution around `mean`. */
+const drawLogUniform = (mean: number, rng: Rng, spread = SIZE_SPREAD): number =>
   Math.max(1, Math.round(mean * spread ** (2 * rng() - 1)));
 
 /** Draws the length of an answer and the caller's estimate of it. */
 const drawEvents = (kind: Kind, rng: Rng) => {
   const eventLimit = kind.mostEvents ?? Infinity;
-  const events = Math.min(eventLimit, spreadAround(kind.events, rng));
+  const events = Math.min(eventLimit, drawLogUniform(kind.events, rng));
   const estimatedEvents =
     kind.guessSpread === 1
       ? events
-      : Math.min(eventLimit, spreadAround(events, rng, kind.guessSpread));
+      : Math.min(eventLimit, drawLogUniform(events, rng, kind.guessSpread));
   const maxEvents = kind.mostEvents ?? estimatedEvents;
   return { events, estimatedEvents, maxEvents };
 };
 
-const drawOne = (kind: Kind, at: number, id: number, rng: Rng) => {
-  const shared = kind.shared.map(({ count: many, tokens }, level) => ({
-    id: `${kind.name}/${level}/${Math.floor(many * rng() ** 1.3)}`,
+const drawRequest = (kind: Kind, at: number, id: number, rng: Rng) => {
+  const shared = kind.shared.map(({ count: variants, tokens }, level) => ({
+    id: `${kind.name}/${level}/${Math.floor(variants * rng() ** 1.3)}`,
     tokens,
   }));
-  const own = spreadAround(kind.ownTokens, rng);
+  const own = drawLogUniform(kind.ownTokens, rng);
   const parts = [...shared, { id: `own/${id}`, tokens: own }];
   const promptTokens = parts.reduce((sum, { tokens }) => sum + tokens, 0);
   return { at, kind, parts, promptTokens, ...drawEvents(kind, rng) };
 };
 
-/** All requests of a load, in the order of their times. */
+/** Generates all requests of a load, in order of time. */
 export const drawRequests = (load: Load, rng: Rng): DrawnRequest[] => {
   const drawn: DrawnRequest[] = [];
   for (const kind of load.kinds) {
@@ -150,7 +150,7 @@
       const rate = rateAt(kind, at / MS_PER_SECOND);
       at += (-Math.log(1 - rng()) / rate) * MS_PER_SECOND;
       if (at >= load.seconds * MS_PER_SECOND) break;
-      drawn.push(drawOne(kind, at, drawn.length, rng));
+      drawn.push(drawRequest(kind, at, drawn.length, rng));
     }
   }
   return drawn.sort((left, right) => left.at - right.at);
--- a/bench/player/main.ts
+++ b/bench/player/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `snowgate-bench play LOAD...`: plays loads on the product's decisions in
- * virtual time and prints what callers get.
+ * `snowgate-bench play LOAD...`: plays loads against the real scheduling code in
+ * virtual time and prints the outcomes for callers.
  */
 import { cac } from "cac";
 import Table from "cli-table3";
@@ -16,7 +16,7 @@
 const EXIT_USAGE = 2;
 const DEFAULT_SEEDS = "1,2,3";
 const MS_PER_SECOND = 1000;
-/** Counts of stages that are shown: one of so many, 3 s apart. */
+/** Every tenth stage count is printed: 3 s apart. */
 const STAGE_SAMPLE_STEP = 10;
 
 interface Flags {
--- a/bench/player/play.ts
+++ b/bench/player/play.ts
@@ -1,6 +1,6 @@
 /**
- * Plays one load in virtual time on the product's own decisions, with a model
- * of engines, hops and callers, and counts what callers get.
+ * Plays one load in virtual time against the real scheduling code, with a model
+ * of engines, network hops and callers, and counts the outcomes for callers.
  */
 import type {
   Grant,
@@ -20,34 +20,34 @@
 import type { Tally } from "./tally.js";
 
 const MS_PER_SECOND = 1000;
-/** Rounds of placement of one request at the most. */
+/** Most placement rounds of one attempt. */
 const MAX_ROUNDS = 4;
-/** Callers give a stream up that has not begun after this, ms at least. */
+/** Shortest time that callers wait for the first event, ms. */
 const MIN_FIRST_EVENT_TIMEOUT_MS = 2000;
-/** After the last request, for what is under way, ms. */
+/** Time after the last request, for requests in flight to finish, ms. */
 const TAIL_MS = 20_000;
 /** Weight of an output token relative to a prompt token in a request's size. */
 const OUTPUT_WEIGHT = 10;
-/** What a late answer is worth of one in time. */
+/** Value of a late answer, where one in time counts 1. */
 const LATE_WORTH = 0.3;
 
 export interface PlayResult {
   tallies: Map<string, Tally>;
   stages: StageCount[];
   changes: number;
-  /** Most runs of an engine that the scheduler did not count. */
+  /** Largest number of runs on one engine that the scheduler did not count. */
   maxUncountedRuns: number;
   /** Mean over all requests: 1 in time, less if late, 0 without an answer. */
   worth: number;
 }
 
-/** One try of a request; a refused caller comes back once with another. */
+/** One attempt of a request; a refused caller makes one more. */
 interface Attempt {
   drawn: DrawnRequest;
   id: string;
-  /** Of the first try: objective and deadline count from it. */
+  /** Start of the first attempt; objective and deadline count from it. */
   firstArrivedAt: number;
-  /** Of this one. */
+  /** Start of this attempt. */
   arrivedAt: number;
   isReturn: boolean;
   avoid: string[];
@@ -66,9 +66,9 @@
     seed: number,
   ) {
     this.fleet = new ModelFleet(load, this.clock, ({ id, answer }) => {
-      const waiting = this.waiting.get(id);
+      const attempt = this.waiting.get(id);
       this.waiting.delete(id);
-      if (waiting !== undefined) this.onAnswer(waiting, answer);
+      if (attempt !== undefined) this.onAnswer(attempt, answer);
     });
     for (const { name } of load.kinds) this.tallies.set(name, newTally());
     for (const drawn of drawRequests(load, seededRng(seed))) {
@@ -78,15 +78,15 @@
 
   run(): PlayResult {
     this.clock.run(WARM_UP_MS + this.load.seconds * MS_PER_SECOND + TAIL_MS);
-    let earned = 0;
-    let owed = 0;
+    let worthSum = 0;
+    let requestCount = 0;
     for (const { asked, inTime, late } of this.tallies.values()) {
-      earned += inTime + late * LATE_WORTH;
-      owed += asked;
+      worthSum += inTime + late * LATE_WORTH;
+      requestCount += asked;
     }
     const { stages, changes, maxUncountedRuns } = this.fleet;
     const { tallies } = this;
-    const worth = earned / owed;
+    const worth = worthSum / requestCount;
     return { tallies, stages, changes, maxUncountedRuns, worth };
   }
 
@@ -102,15 +102,15 @@
     this.requestPlacement({ drawn, ...fresh, avoid: [], rounds: 0 });
   }
 
-  private requestPlacement(one: Attempt): void {
+  private requestPlacement(attempt: Attempt): void {
     this.sequence += 1;
-    one.rounds += 1;
-    one.id = `r${this.sequence}`;
+    attempt.rounds += 1;
+    attempt.id = `r${this.sequence}`;
     this.clock.after(this.load.hopMs, () => {
-      const ask = this.placementRequest(one);
-      const answer = this.fleet.scheduler.place(ask, this.clock.now);
-      if (answer.kind === "queued") this.waiting.set(one.id, one);
-      else this.onAnswer(one, answer);
+      const request = this.placementRequest(attempt);
+      const answer = this.fleet.scheduler.place(request, this.clock.now);
+      if (answer.kind === "queued") this.waiting.set(attempt.id, attempt);
+      else this.onAnswer(attempt, answer);
     });
   }
 
@@ -119,12 +119,12 @@
     id,
     firstArrivedAt,
     arrivedAt,
-    ...one
+    ...attempt
   }: Attempt): PlacementRequest {
     const { kind, parts, promptTokens, estimatedEvents } = drawn;
     const { now } = this.clock;
-    const deadlineMs = firstArrivedAt + kind.deadlineMs - now;
-    const patienceMs = arrivedAt + firstEventTimeoutMs(kind) - now;
+    const deadlineLeftMs = firstArrivedAt + kind.deadlineMs - now;
+    const firstEventLeftMs = arrivedAt + firstEventTimeoutMs(kind) - now;
     return {
       id,
       service: "model",
@@ -137,29 +137,31 @@
       mostOutputTokens: Math.round(drawn.maxEvents * kind.tokensPerEvent),
       parts,
       objectiveLeftMs: firstArrivedAt + kind.objectiveMs - now,
-      deadlineLeftMs: Math.min(deadlineMs, patienceMs),
-      answerLeftMs: deadlineMs,
+      deadlineLeftMs: Math.min(deadlineLeftMs, firstEventLeftMs),
+      answerLeftMs: deadlineLeftMs,
       priority: kind.priority,
-      isReturn: one.isReturn,
-      avoid: one.avoid,
+      isReturn: attempt.isReturn,
+      avoid: attempt.avoid,
     };
   }
 
-  private onAnswer(one: Attempt, answer: PlacementAnswer): void {
+  private onAnswer(attempt: Attempt, answer: PlacementAnswer): void {
     if (answer.kind === "granted") {
-      return this.clock.after(this.load.hopMs, () => this.prefill(one, answer));
+      return this.clock.after(this.load.hopMs, () =>
+        this.prefill(attempt, answer),
+      );
     }
-    const leftMs = this.deadlineAt(one) - this.clock.now;
+    const leftMs = this.deadlineAt(attempt) - this.clock.now;
     const pauseMs = answer.retryAfterMs + this.load.hopMs;
-    if (one.isReturn || pauseMs >= leftMs) {
-      this.tally(one.drawn).refused += 1;
-      this.recordOutcome(one, false);
-      return this.countIfInVain(one);
+    if (attempt.isReturn || pauseMs >= leftMs) {
+      this.tally(attempt.drawn).refused += 1;
+      this.recordOutcome(attempt, false);
+      return this.countIfInVain(attempt);
     }
     this.clock.after(pauseMs, () => {
       const arrivedAt = this.clock.now;
       this.requestPlacement({
-        ...one,
+        ...attempt,
         arrivedAt,
         isReturn: true,
         avoid: [],
@@ -168,20 +170,20 @@
     });
   }
 
-  private prefill(one: Attempt, grant: Grant): void {
-    if (grant.reader === undefined) return this.startRun(one, grant);
+  private prefill(attempt: Attempt, grant: Grant): void {
+    if (grant.reader === undefined) return this.startRun(attempt, grant);
     const reader = this.fleet.engine(grant.reader);
     if (reader?.acceptsWork !== true || reader.stage !== "prefill") {
-      return this.retryPlacement(one, grant.reader);
+      return this.retryPlacement(attempt, grant.reader);
     }
-    const endMs = this.startPrefill(one, reader, grant);
+    const endMs = this.startPrefill(attempt, reader, grant);
     const { incarnation } = reader;
     this.clock.after(endMs - this.clock.now + this.load.hopMs, () => {
       const isLost = reader.incarnation !== incarnation;
-      this.report({ kind: "read", id: one.id, ok: !isLost });
-      if (isLost) return this.retryPlacement(one, reader.id);
-      if (this.isPastDeadline(one)) return this.endUnserved(one, true);
-      this.clock.after(this.load.hopMs, () => this.startRun(one, grant));
+      this.report({ kind: "read", id: attempt.id, ok: !isLost });
+      if (isLost) return this.retryPlacement(attempt, reader.id);
+      if (this.isPastDeadline(attempt)) return this.endUnserved(attempt, true);
+      this.clock.after(this.load.hopMs, () => this.startRun(attempt, grant));
     });
   }
 
@@ -195,30 +197,32 @@
     return reader.prefill(parts, promptTokens, donor, this.clock.now);
   }
 
-  private startRun(one: Attempt, grant: Grant): void {
+  private startRun(attempt: Attempt, grant: Grant): void {
     const runner = this.fleet.engine(grant.runner);
     const { slots } = this.load.engines;
     if (runner?.acceptsWork !== true || runner.stage !== "decode") {
-      return this.retryPlacement(one, grant.runner);
+      return this.retryPlacement(attempt, grant.runner);
     }
-    if (runner.runs >= slots) return this.retryPlacement(one, grant.runner);
+    if (runner.runs >= slots) return this.retryPlacement(attempt, grant.runner);
     const { now } = this.clock;
-    const isOwnRead = grant.reader === undefined;
-    const readyAt = isOwnRead ? this.startPrefill(one, runner, grant) : now;
-    if (!isOwnRead) runner.addToCache(one.drawn.parts);
+    const prefillsItself = grant.reader === undefined;
+    const readyAt = prefillsItself
+      ? this.startPrefill(attempt, runner, grant)
+      : now;
+    if (!prefillsItself) runner.addToCache(attempt.drawn.parts);
     runner.runs += 1;
-    runner.runTokens += one.drawn.promptTokens;
-    this.streamEvents(one, runner, readyAt - now, isOwnRead);
+    runner.runTokens += attempt.drawn.promptTokens;
+    this.streamEvents(attempt, runner, readyAt - now, prefillsItself);
   }
 
-  /** Makes the events of one run, one after the other. */
+  /** Produces the events of one run, one after the other. */
   private streamEvents(
-    one: Attempt,
+    attempt: Attempt,
     runner: EngineModel,
-    readMs: number,
-    isOwnRead: boolean,
+    prefillMs: number,
+    prefillsItself: boolean,
   ): void {
-    const { kind, events } = one.drawn;
+    const { kind, events } = attempt.drawn;
     const { incarnation } = runner;
     const sentAt = this.clock.now;
     let firstAt: number | undefined;
@@ -226,24 +230,25 @@
     let isSmooth = true;
     const releaseRun = (): void => {
       runner.runs -= 1;
-      runner.runTokens -= one.drawn.promptTokens + made * kind.tokensPerEvent;
+      runner.runTokens -=
+        attempt.drawn.promptTokens + made * kind.tokensPerEvent;
     };
     const next = (): void => {
       if (runner.incarnation !== incarnation)
-        return this.onCrash(one, firstAt !== undefined);
+        return this.onCrash(attempt, firstAt !== undefined);
       made += 1;
       runner.runTokens += kind.tokensPerEvent;
       if (firstAt === undefined) {
         firstAt = this.clock.now;
-        if (isOwnRead) this.report({ kind: "begun", id: one.id });
+        if (prefillsItself) this.report({ kind: "begun", id: attempt.id });
       }
       if (
-        this.isPastDeadline(one) ||
-        (made === 1 && this.isFirstEventOverdue(one))
+        this.isPastDeadline(attempt) ||
+        (made === 1 && this.isFirstEventOverdue(attempt))
       ) {
         releaseRun();
         const tookMs = this.clock.now - firstAt;
-        return this.endUnserved(one, true, {
+        return this.endUnserved(attempt, true, {
           events: made,
           tookMs,
           isCut: true,
@@ -251,57 +256,68 @@
       }
       if (made >= events) {
         releaseRun();
-        return this.endServed(one, firstAt, sentAt, isSmooth);
+        return this.endServed(attempt, firstAt, sentAt, isSmooth);
       }
       const pauseMs = runner.eventMs(kind.tokensPerEvent);
       isSmooth &&= pauseMs <= kind.gapMs;
       this.clock.after(pauseMs, next);
     };
-    this.clock.after(readMs + this.load.hopMs + runner.eventMs(1), next);
+    this.clock.after(prefillMs + this.load.hopMs + runner.eventMs(1), next);
   }
 
   private endServed(
-    one: Attempt,
+    attempt: Attempt,
     firstAt: number,
     sentAt: number,
     isSmooth: boolean,
   ): void {
-    const tally = this.tally(one.drawn);
-    const firstMs = firstAt - one.firstArrivedAt;
+    const tally = this.tally(attempt.drawn);
+    const firstMs = firstAt - attempt.firstArrivedAt;
     tally.firstMs.push(firstMs);
-    if (isSmooth && firstMs <= one.drawn.kind.objectiveMs) tally.inTime += 1;
+    if (isSmooth && firstMs <= attempt.drawn.kind.objectiveMs)
+      tally.inTime += 1;
     else tally.late += 1;
-    this.recordOutcome(one, true);
+    this.recordOutcome(attempt, true);
     const firstEventMs = firstAt - sentAt;
     const tookMs = this.clock.now - firstAt;
-    const stream = { events: one.drawn.events, tookMs, isCut: false };
-    this.report({ kind: "ended", id: one.id, ok: true, firstEventMs, stream });
+    const stream = { events: attempt.drawn.events, tookMs, isCut: false };
+    this.report({
+      kind: "ended",
+      id: attempt.id,
+      ok: true,
+      firstEventMs,
+      stream,
+    });
   }
 
-  /** Ends with nothing for its caller. */
-  private endUnserved(one: Attempt, ok: boolean, stream?: StreamResult): void {
-    this.tally(one.drawn).failed += 1;
-    // A run that its engine's crash cut off does not reflect on scheduling.
-    if (ok) this.recordOutcome(one, false);
-    this.countIfInVain(one);
-    this.report({ kind: "ended", id: one.id, ok, firstEventMs: 0, stream });
+  /** Ends a request that its caller gets no complete answer to. */
+  private endUnserved(
+    attempt: Attempt,
+    ok: boolean,
+    stream?: StreamResult,
+  ): void {
+    this.tally(attempt.drawn).failed += 1;
+    // A run cut off by an engine crash does not count against the scheduler.
+    if (ok) this.recordOutcome(attempt, false);
+    this.countIfInVain(attempt);
+    this.report({ kind: "ended", id: attempt.id, ok, firstEventMs: 0, stream });
   }
 
-  private onCrash(one: Attempt, hasBegun: boolean): void {
-    if (hasBegun) return this.endUnserved(one, false);
-    this.report({ kind: "ended", id: one.id, ok: false, firstEventMs: 0 });
-    this.tally(one.drawn).failed += 1;
+  private onCrash(attempt: Attempt, hasBegun: boolean): void {
+    if (hasBegun) return this.endUnserved(attempt, false);
+    this.report({ kind: "ended", id: attempt.id, ok: false, firstEventMs: 0 });
+    this.tally(attempt.drawn).failed += 1;
   }
 
-  /** Another round, without the engine that failed it. */
-  private retryPlacement(one: Attempt, engine: string): void {
-    this.report({ kind: "ended", id: one.id, ok: false, firstEventMs: 0 });
-    if (one.rounds >= MAX_ROUNDS || this.isPastDeadline(one)) {
-      this.tally(one.drawn).failed += 1;
-      this.recordOutcome(one, false);
-      return this.countIfInVain(one);
+  /** Starts another placement round that avoids the engine that failed. */
+  private retryPlacement(attempt: Attempt, engine: string): void {
+    this.report({ kind: "ended", id: attempt.id, ok: false, firstEventMs: 0 });
+    if (attempt.rounds >= MAX_ROUNDS || this.isPastDeadline(attempt)) {
+      this.tally(attempt.drawn).failed += 1;
+      this.recordOutcome(attempt, false);
+      return this.countIfInVain(attempt);
     }
-    this.requestPlacement({ ...one, avoid: [...one.avoid, engine] });
+    this.requestPlacement({ ...attempt, avoid: [...attempt.avoid, engine] });
   }
 
   private report(event: PlacementEvent): void {
@@ -314,18 +330,18 @@
     return firstArrivedAt + drawn.kind.deadlineMs;
   }
 
-  private isPastDeadline(one: Attempt): boolean {
-    return this.clock.now >= this.deadlineAt(one);
+  private isPastDeadline(attempt: Attempt): boolean {
+    return this.clock.now >= this.deadlineAt(attempt);
   }
 
   private isFirstEventOverdue({ arrivedAt, drawn }: Attempt): boolean {
     return this.clock.now >= arrivedAt + firstEventTimeoutMs(drawn.kind);
   }
 
-  private countIfInVain(one: Attempt): void {
-    const heldMs = this.clock.now - one.arrivedAt;
-    if (heldMs > one.drawn.kind.deadlineMs / 2) {
-      this.tally(one.drawn).inVain += 1;
+  private countIfInVain(attempt: Attempt): void {
+    const heldMs = this.clock.now - attempt.arrivedAt;
+    if (heldMs > attempt.drawn.kind.deadlineMs / 2) {
+      this.tally(attempt.drawn).inVain += 1;
     }
   }
 
@@ -340,7 +356,7 @@
   }
 }
 
-/** How long callers wait for a first event, ms. */
+/** How long callers wait for the first event, ms. */
 const firstEventTimeoutMs = ({
   objectiveMs,
   gapMs,
--- a/bench/player/tally.ts
+++ b/bench/player/tally.ts
@@ -7,17 +7,17 @@
   isServed: boolean;
 }
 
-/** What became of the requests of one kind. */
+/** Outcome counts of the requests of one kind. */
 export interface Tally {
   asked: number;
   inTime: number;
   late: number;
   refused: number;
-  /** Placed and not served: engines were lost, or the time was over. */
+  /** Placed but not served: an engine crashed, or the deadline passed. */
   failed: number;
-  /** Ended with nothing after more than half of their deadline. */
+  /** Ended without an answer after more than half of their deadline. */
   inVain: number;
-  /** Times to the first event of those that were served, ms. */
+  /** Times to the first event of served requests, ms. */
   firstMs: number[];
   /** Excludes requests whose run an engine crash cut off. */
   outcomes: SizedOutcome[];
@@ -34,7 +34,7 @@
   outcomes: [],
 });
 
-/** The sum of several plays' tallies. */
+/** Adds up the tallies of several plays. */
 export const addTallies = (tallies: readonly Tally[]): Tally => {
   const sum = newTally();
   for (const tally of tallies) {
@@ -50,7 +50,7 @@
   return sum;
 };
 
-/** Size quantiles at which large and largest requests of a kind begin. */
+/** Size quantiles from which a request counts as large or largest. */
 const LARGE_FROM = 0.7;
 const LARGEST_FROM = 0.9;
 
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,7 +1,7 @@
 /**
- * Cost of each decision and message against its size, at three sizes or
- * more: processor time, bytes, memory. docs/CAPACITY.md is worked out from
- * these.
+ * Measures how the cost of each decision and message grows with size:
+ * processor time, bytes and memory. docs/CAPACITY.md is calculated from these
+ * figures.
  */
 import Table from "cli-table3";
 
@@ -28,7 +28,7 @@
 const US_PER_MS = 1000;
 const MIN_MEASUREMENT_MS = 200;
 
-/** Mean time of one call, µs. */
+/** Mean duration of one call, µs, measured after 20 warm-up calls. */
 const meanCallUs = (work: (round: number) => void): number => {
   for (let round = 0; round < 20; round += 1) work(round);
   const startedAt = performance.now();
@@ -40,7 +40,7 @@
   return ((performance.now() - startedAt) / rounds) * US_PER_MS;
 };
 
-/** Heap that a value holds, KB. */
+/** Heap used by a value, KB; accurate only under `node --expose-gc`. */
 const heapUsageKb = (make: () => unknown): number => {
   global.gc?.();
   const before = process.memoryUsage().heapUsed;
@@ -222,7 +222,7 @@
   addRow("digest with 12 rumours", 12, undefined, full);
 };
 
-/** Only what a peer would send: the parts that are new. */
+/** Builds what a peer would send: only the changed parts. */
 const makeDelta = (config: Config, state: ConfigState, number: number) => {
   const [service] = config.services;
   const part = toSnapshot({ ...config, services: [service!] }, number);
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -100,9 +100,9 @@
 };
 
 const onlySentRequestsRun: Check = ({ calls, probes, runs }) => {
-  const asked = new Set([...calls, ...probes].map((item) => item.id));
+  const sentIds = new Set([...calls, ...probes].map((item) => item.id));
   return runs
-    .filter((run) => !asked.has(run.requestId))
+    .filter((run) => !sentIds.has(run.requestId))
     .map(({ requestId, replica }) => ({
       promise: "only what was asked runs",
       what: `${replica} ran ${requestId}, which no caller sent`,
@@ -112,9 +112,9 @@
 const configNeverGoesBack: Check = ({ probes }) => {
   const violations: Violation[] = [];
   const lives = groupBy(probes, ({ entry, life }) => `${entry}/${life}`);
-  for (const [life, asked] of lives) {
-    for (const late of asked.filter((probe) => probe.status === 404)) {
-      const before = asked.find(
+  for (const [life, processProbes] of lives) {
+    for (const late of processProbes.filter((probe) => probe.status === 404)) {
+      const before = processProbes.find(
         (probe) =>
           probe.version >= late.version &&
           probe.status !== 404 &&
@@ -132,27 +132,27 @@
 
 const isPropagationOverdue = (
   records: SoakRecords,
-  news: ChangeRecord,
+  change: ChangeRecord,
   at: number,
 ) =>
-  at > news.at + MAX_PROPAGATION_MS &&
-  isCalm(records, news.at - CALM_BEFORE_MS, at);
+  at > change.at + MAX_PROPAGATION_MS &&
+  isCalm(records, change.at - CALM_BEFORE_MS, at);
 
 const changesTakeEffect: Check = (records) => {
   const violations: Violation[] = [];
-  for (const news of records.news) {
-    if (news.kind === "configuration") {
+  for (const change of records.news) {
+    if (change.kind === "configuration") {
       for (const { version, sentAt, status, entry } of records.probes) {
-        const isOverdue = isPropagationOverdue(records, news, sentAt);
-        if (String(version) !== news.subject || !isOverdue) continue;
+        const isOverdue = isPropagationOverdue(records, change, sentAt);
+        if (String(version) !== change.subject || !isOverdue) continue;
         if (status !== 404) continue;
         const what = `${entry} did not know ${version} in time`;
         violations.push({ promise: "configuration in force", what });
       }
     } else {
       for (const { replica, at, requestId } of records.runs) {
-        if (replica !== news.subject) continue;
-        if (!isPropagationOverdue(records, news, at)) continue;
+        if (replica !== change.subject) continue;
+        if (!isPropagationOverdue(records, change, at)) continue;
         const what = `${replica} is leaving and got ${requestId}`;
         violations.push({ promise: "no work for leaving replicas", what });
       }
--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -25,11 +25,11 @@
   /** Planned work must not cut any request. */
   isPlanned: boolean;
   /** Chooses what to hit; undefined if there is nothing. */
-  target(strike: FaultContext): T | undefined;
+  target(context: FaultContext): T | undefined;
   /** Id of the target; two faults never hit the same target at once. */
   nameOf(target: T): string;
   /** Injects the fault, waits, and reverts it. */
-  run(target: T, strike: FaultContext): Promise<void>;
+  run(target: T, context: FaultContext): Promise<void>;
 }
 
 /** A fault without the type of its target, so that one list holds all. */
@@ -37,19 +37,19 @@
   name: string;
   isPlanned: boolean;
   prepare(
-    strike: FaultContext,
+    context: FaultContext,
   ): { target: string; run: () => Promise<void> } | undefined;
 }
 
-const defineFault = <T>(one: Fault<T>): AnyFault => ({
-  name: one.name,
-  isPlanned: one.isPlanned,
-  prepare: (strike) => {
-    const target = one.target(strike);
+const defineFault = <T>(fault: Fault<T>): AnyFault => ({
+  name: fault.name,
+  isPlanned: fault.isPlanned,
+  prepare: (context) => {
+    const target = fault.target(context);
     if (target === undefined) return undefined;
     return {
-      target: one.nameOf(target),
-      run: () => one.run(target, strike),
+      target: fault.nameOf(target),
+      run: () => fault.run(target, context),
     };
   },
 });
@@ -81,7 +81,7 @@
 
 const processFault = (
   name: string,
-  run: (target: DaemonProcess, strike: FaultContext) => Promise<void>,
+  run: (target: DaemonProcess, context: FaultContext) => Promise<void>,
 ): AnyFault =>
   defineFault({
     name,
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -128,13 +128,13 @@
 /** When the replica first sent the signal to each entry process. */
 const firstSignalled = (
   sent: readonly SentRequest[],
-  says: (told: ToldSignals) => boolean,
+  matches: (signals: ToldSignals) => boolean,
 ): Map<string, number> => {
-  const told = new Map<string, number>();
+  const firstAt = new Map<string, number>();
   for (const { entry, at, told: signals } of sent) {
-    if (says(signals) && !told.has(entry)) told.set(entry, at);
+    if (matches(signals) && !firstAt.has(entry)) firstAt.set(entry, at);
   }
-  return told;
+  return firstAt;
 };
 
 const limitsRespected: Check = (records) =>
@@ -175,9 +175,9 @@
 
 const leavingRespected: Check = (records) =>
   [...requestsByReplica(records)].flatMap(([replica, sent]) => {
-    const told = firstSignalled(sent, ({ isLeaving }) => isLeaving);
+    const toldAt = firstSignalled(sent, ({ isLeaving }) => isLeaving);
     return sent.flatMap((item) => {
-      const since = told.get(item.entry) ?? Infinity;
+      const since = toldAt.get(item.entry) ?? Infinity;
       const isLate =
         item.at > since + LEAVING_GRACE_MS &&
         item.askedAt > since &&
--- a/types/js-csp.d.ts
+++ b/types/js-csp.d.ts
@@ -1,4 +1,4 @@
-/** Types for the part of js-csp 1.0.1 that the project uses. */
+/** Type declarations for the parts of js-csp 1.0.1 that this project uses. */
 declare module "js-csp" {
   export interface Channel<T> {
     close(): void;
