--- a/bench/player/main.ts
+++ b/bench/player/main.ts
@@ -1,23 +1,23 @@
 #!/usr/bin/env node
 /**
- * `snowgate-bench play LOAD...`: plays loads on the product's decisions in
- * virtual time and prints what callers get.
+ * `snowgate-bench play LOAD...`: plays loads against the real scheduling code in
+ * virtual time and prints the outcomes for callers.
  */
 import { cac } from "cac";
 import Table from "cli-table3";
 
 import { errText } from "../../src/shared/utils.js";
-import { percentiles, spread } from "../lib/figures.js";
+import { percentiles, formatMeanAndRange } from "../lib/figures.js";
 import { readLoad } from "./load.js";
 import { Play } from "./play.js";
 import { addTallies, servedBySize } from "./tally.js";
-import type { Played } from "./play.js";
+import type { PlayResult } from "./play.js";
 
 const EXIT_USAGE = 2;
 const DEFAULT_SEEDS = "1,2,3";
-const MS = 1000;
-/** Counts of stages that are shown: one of so many, 3 s apart. */
-const SHOWN_STEP = 10;
+const MS_PER_SECOND = 1000;
+/** Every tenth stage count is printed: 3 s apart. */
+const STAGE_SAMPLE_STEP = 10;
 
 interface Flags {
   seeds: string;
@@ -27,7 +27,7 @@
 const share = (part: number, all: number): string =>
   all === 0 ? "-" : ((100 * part) / all).toFixed(1);
 
-const kindRow = (name: string, plays: readonly Played[]): string[] => {
+const kindRow = (name: string, plays: readonly PlayResult[]): string[] => {
   const all = plays.flatMap(({ tallies }) => tallies.get(name) ?? []);
   const tally = addTallies(all);
   const { asked, inTime, late, refused, failed, inVain, firstMs } = tally;
@@ -41,7 +41,7 @@
   return [name, String(asked), ...shares, ...bySize, ...latencies];
 };
 
-const kindTable = (plays: readonly Played[]): string => {
+const kindTable = (plays: readonly PlayResult[]): string => {
   const head = [
     ...["kind", "asked", "in time %", "late %", "refused %", "failed %"],
     ...["in vain %", "large served %", "largest served %"],
@@ -54,11 +54,11 @@
   return table.toString();
 };
 
-const stageLine = ({ stages }: Played): string =>
+const stageLine = ({ stages }: PlayResult): string =>
   stages
-    .filter((_, at) => at % SHOWN_STEP === 0)
+    .filter((_, at) => at % STAGE_SAMPLE_STEP === 0)
     .map(({ atMs, prefill, decode }) => {
-      return `${(atMs / MS).toFixed(0)}s ${prefill}/${decode}`;
+      return `${(atMs / MS_PER_SECOND).toFixed(0)}s ${prefill}/${decode}`;
     })
     .join("  ");
 
@@ -67,8 +67,8 @@
   for (const file of files) {
     const load = readLoad(file);
     const plays = seeds.map((seed) => new Play(load, seed).run());
-    const worth = spread(plays.map((item) => item.worth));
-    const changes = spread(plays.map((item) => item.changes));
+    const worth = formatMeanAndRange(plays.map((item) => item.worth));
+    const changes = formatMeanAndRange(plays.map((item) => item.changes));
     console.log(`${file}: worth ${worth}, changes of stage ${changes}`);
     console.log(kindTable(plays));
     if (flags.stages === true && plays[0] !== undefined) {
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of the soak: requests over kept connections, and probes. */
+/** Simulated callers: requests over keep-alive connections, and probes. */
 import http from "node:http";
 
 import {
@@ -21,17 +21,17 @@
   resumable: "/resume/a",
   draft: "/draft/a",
 };
-/** Beyond the deadline, before a caller gives up, ms. */
-const PATIENCE_MS = 1000;
-/** Pause of a caller between two requests, ms. */
-const PAUSE_MS = 15;
-/** Pause where no entry can be reached, ms. */
-const NOBODY_MS = 100;
-const PROBE_PAUSE_MS = 120;
+/** Time past the deadline after which a caller gives up, ms. */
+const TIMEOUT_MARGIN_MS = 1000;
+/** Longest pause of a caller between two requests, ms. */
+const MAX_PAUSE_MS = 15;
+/** Pause before the next try if no entry is reachable, ms. */
+const NO_ENTRY_RETRY_MS = 100;
+const PROBE_INTERVAL_MS = 120;
 const EVENT_ID = /^id: (\d+)$/gm;
-const CONNECTIONS_A_CALLER = 1;
+const CONNECTIONS_PER_CALLER = 1;
 
-/** What came back of one request. */
+/** The response to one request, as far as it arrived. */
 interface Answer {
   status: number;
   headers: http.IncomingHttpHeaders;
@@ -52,7 +52,7 @@
 const pause = (ms: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, ms));
 
-const exchange = (
+const sendRequest = (
   agent: http.Agent,
   address: string,
   target: string,
@@ -66,7 +66,10 @@
       ...options,
       headers: { ...headers, "Content-Length": "0" },
     });
-    const timer = setTimeout(() => req.destroy(), DEADLINE_MS + PATIENCE_MS);
+    const timer = setTimeout(
+      () => req.destroy(),
+      DEADLINE_MS + TIMEOUT_MARGIN_MS,
+    );
     const end = (answer: Answer) => {
       clearTimeout(timer);
       resolve(answer);
@@ -85,22 +88,22 @@
     req.end();
   });
 
-const replicaIn = (body: string): string | undefined => {
+const replicaInBody = (body: string): string | undefined => {
   try {
     return (JSON.parse(body) as { by?: string }).by;
   } catch {
-    // A spoilt body names nobody, which the check of whole answers reports.
+    // A corrupt body names no replica, which `answersAreComplete` reports.
     return undefined;
   }
 };
 
-const eventsIn = (body: string): number[] =>
+const eventIdsIn = (body: string): number[] =>
   [...body.matchAll(EVENT_ID)].map((match) => Number(match[1]));
 
 export class SoakCaller {
   private readonly agent = new http.Agent({
     keepAlive: true,
-    maxSockets: CONNECTIONS_A_CALLER,
+    maxSockets: CONNECTIONS_PER_CALLER,
   });
   private sequence = 0;
 
@@ -110,19 +113,19 @@
     private readonly rng: Rng,
   ) {}
 
-  /** Sends requests one after the other until it is over. */
+  /** Sends requests one after the other until `isOver` returns true. */
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
-      const reachable = this.fleet.entries.filter((item) => item.callers);
+      const reachable = this.fleet.entries.filter((item) => item.callerAddress);
       const entry = drawOne(reachable, this.rng);
-      if (entry?.callers === undefined) await pause(NOBODY_MS);
-      else await this.call(entry, entry.callers);
-      await pause(PAUSE_MS * this.rng());
+      if (entry?.callerAddress === undefined) await pause(NO_ENTRY_RETRY_MS);
+      else await this.sendOne(entry, entry.callerAddress);
+      await pause(MAX_PAUSE_MS * this.rng());
     }
     this.agent.destroy();
   }
 
-  private async call(entry: DaemonProcess, address: string): Promise<void> {
+  private async sendOne(entry: DaemonProcess, address: string): Promise<void> {
     const { now, records } = this.fleet;
     this.sequence += 1;
     const id = `${this.name}-${this.sequence}`;
@@ -136,7 +139,7 @@
     const { life } = entry;
     const sentAt = now();
     const target = PATHS[kind];
-    const answer = await exchange(this.agent, address, target, headers, now);
+    const answer = await sendRequest(this.agent, address, target, headers, now);
     const { status, headAt, isWhole, body } = answer;
     const names = answerNames(answer.headers);
     records.calls.push({
@@ -151,49 +154,59 @@
       isWhole,
       answerId: names.id,
       signedBy: names.signedBy,
-      bodyBy: isStream ? undefined : replicaIn(body),
-      events: isStream ? eventsIn(body) : [],
+      bodyBy: isStream ? undefined : replicaInBody(body),
+      events: isStream ? eventIdsIn(body) : [],
     });
   }
 }
 
-/** Asks each entry for routes that configurations have added. */
-export const probe = async (
+/** Requests routes that configuration versions added, from each entry. */
+export const probeAddedRoutes = async (
   fleet: SoakFleet,
   rng: Rng,
   isOver: () => boolean,
 ): Promise<void> => {
   const agent = new http.Agent({ keepAlive: true });
   for (let count = 0; !isOver(); count += 1) {
-    await pause(PROBE_PAUSE_MS);
-    const entries = fleet.entries.filter((item) => item.isUp && item.callers);
-    const asked = entries.map(async ({ id: entry, life, callers = "" }) => {
-      const newest = rng() < 0.5;
-      const version = newest
-        ? fleet.version
-        : 1 + Math.floor(rng() * fleet.version);
-      const sentAt = fleet.now();
-      const id = `probe-${entry}-${count}`;
-      const headers = callHeaders(id, DEADLINE_MS);
-      const target = `${addedPrefix(version)}a`;
-      const { now } = fleet;
-      const answer = await exchange(agent, callers, target, headers, now);
-      const { status, headAt } = answer;
-      const { signedBy } = answerNames(answer.headers);
-      const endedAt = now();
-      fleet.records.probes.push({
-        id,
-        entry,
-        life,
-        version,
-        sentAt,
-        headAt,
-        endedAt,
-        status,
-        signedBy,
-      });
-    });
-    await Promise.all(asked);
+    await pause(PROBE_INTERVAL_MS);
+    const entries = fleet.entries.filter(
+      (item) => item.isUp && item.callerAddress,
+    );
+    const pending = entries.map(
+      async ({ id: entry, life, callerAddress = "" }) => {
+        const probesNewest = rng() < 0.5;
+        const version = probesNewest
+          ? fleet.version
+          : 1 + Math.floor(rng() * fleet.version);
+        const sentAt = fleet.now();
+        const id = `probe-${entry}-${count}`;
+        const headers = callHeaders(id, DEADLINE_MS);
+        const target = `${addedPrefix(version)}a`;
+        const { now } = fleet;
+        const answer = await sendRequest(
+          agent,
+          callerAddress,
+          target,
+          headers,
+          now,
+        );
+        const { status, headAt } = answer;
+        const { signedBy } = answerNames(answer.headers);
+        const endedAt = now();
+        fleet.records.probes.push({
+          id,
+          entry,
+          life,
+          version,
+          sentAt,
+          headAt,
+          endedAt,
+          status,
+          signedBy,
+        });
+      },
+    );
+    await Promise.all(pending);
   }
   agent.destroy();
 };
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -1,30 +1,35 @@
 /**
- * The promises, checked on what callers and upstreams recorded. Pure: records
- * in, violations out.
+ * Checks the promises of the system against what callers and upstreams
+ * recorded. Pure functions from records to violations.
  */
 import { SIGNAL_CHECKS } from "./signalChecks.js";
-import { IS_STREAM, MAY_RUN_AGAIN } from "./types.js";
+import { IS_STREAM, IS_RETRYABLE } from "./types.js";
 import type {
   CallRecord,
-  NewsRecord,
+  ChangeRecord,
   SoakRecords,
   Violation,
 } from "./types.js";
 
-/** Events of a whole stream; the stand-in replicas send as many. */
+/** Number of events in a complete stream of the stand-in replicas. */
 export const STREAM_EVENTS = 40;
-/** Time that callers of the soak give a request, ms. */
+/** Deadline that callers set for a request, ms. */
 export const DEADLINE_MS = 2000;
-/** Calm before a bound on time holds, ms: the users' contact time. */
+/**
+ * Time without unplanned faults before time bounds apply, ms: equals the
+ * `contactMs` setting of the processes.
+ */
 const CALM_BEFORE_MS = 3000;
-/** Bound on news that every process must know, ms, with slack for a busy
- * machine. */
-const NEWS_BOUND_MS = 4000;
-/** Share and stock of further sends, as in the settings of the processes. */
-const RETRY_RATIO = 0.2;
+/**
+ * Longest time until every process knows of a change, ms, with slack for a busy
+ * machine.
+ */
+const MAX_PROPAGATION_MS = 4000;
+/** Retry budget, as in the settings of the processes. */
+const RETRY_BUDGET_RATIO = 0.2;
 const RETRY_BURST = 64;
-/** Statuses that say that nothing ran and nothing will. */
-const PROMISES_NOT_RUN: readonly number[] = [408, 421, 429, 503];
+/** Statuses that state that the request did not run and will not. */
+const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
 
 type Check = (records: SoakRecords) => Violation[];
 
@@ -41,37 +46,37 @@
   return groups;
 };
 
-/** Whether no unplanned fault lasted at any time between two instants. */
+/** Whether no unplanned fault overlaps the given period. */
 const isCalm = (records: SoakRecords, from: number, until: number): boolean =>
   records.faults.every(
     (fault) => fault.isPlanned || fault.until < from || fault.from > until,
   );
 
-const wholeAnswers: Check = ({ calls }) =>
+const answersAreComplete: Check = ({ calls }) =>
   calls.filter(isSuccess).flatMap((call) => {
     const { id, kind, events } = call;
-    const faults: string[] = [];
-    if (call.answerId !== id) faults.push(`names request ${call.answerId}`);
-    if (call.signedBy === undefined) faults.push("is not signed");
+    const problems: string[] = [];
+    if (call.answerId !== id) problems.push(`names request ${call.answerId}`);
+    if (call.signedBy === undefined) problems.push("is not signed");
     if (IS_STREAM[kind]) {
       const isInOrder = events.every((event, at) => event === at + 1);
-      if (!isInOrder) faults.push(`has events ${events.join(",")}`);
+      if (!isInOrder) problems.push(`has events ${events.join(",")}`);
       if (call.isWhole && events.length !== STREAM_EVENTS) {
-        faults.push(`ends as whole after ${events.length} events`);
+        problems.push(`ends as whole after ${events.length} events`);
       }
     } else if (call.isWhole && call.bodyBy !== call.signedBy) {
-      faults.push(`is signed by ${call.signedBy}, of ${call.bodyBy}`);
+      problems.push(`is signed by ${call.signedBy}, of ${call.bodyBy}`);
     }
-    return faults.map((fault) => ({
+    return problems.map((problem) => ({
       promise: "whole answers",
-      what: `answer to ${id} (${kind}) ${fault}`,
+      what: `answer to ${id} (${kind}) ${problem}`,
     }));
   });
 
 const atMostOnce: Check = ({ calls, runs }) => {
   const byRequest = groupBy(runs, (run) => run.requestId);
   return calls
-    .filter((call) => !MAY_RUN_AGAIN[call.kind])
+    .filter((call) => !IS_RETRYABLE[call.kind])
     .flatMap(({ id, kind }) => {
       const ran = byRequest.get(id) ?? [];
       if (ran.length <= 1) return [];
@@ -81,12 +86,12 @@
     });
 };
 
-const notRunIsTrue: Check = ({ calls, runs }) => {
+const notRunAnswersHold: Check = ({ calls, runs }) => {
   const ran = new Set(runs.map((run) => run.requestId));
   return calls
-    .filter((call) => !MAY_RUN_AGAIN[call.kind])
+    .filter((call) => !IS_RETRYABLE[call.kind])
     .filter(
-      ({ status, id }) => PROMISES_NOT_RUN.includes(status) && ran.has(id),
+      ({ status, id }) => NOT_RUN_STATUSES.includes(status) && ran.has(id),
     )
     .map(({ id, kind, status }) => ({
       promise: "not run is true",
@@ -94,22 +99,22 @@
     }));
 };
 
-const onlyAsked: Check = ({ calls, probes, runs }) => {
-  const asked = new Set([...calls, ...probes].map((item) => item.id));
+const onlySentRequestsRun: Check = ({ calls, probes, runs }) => {
+  const sentIds = new Set([...calls, ...probes].map((item) => item.id));
   return runs
-    .filter((run) => !asked.has(run.requestId))
+    .filter((run) => !sentIds.has(run.requestId))
     .map(({ requestId, replica }) => ({
       promise: "only what was asked runs",
       what: `${replica} ran ${requestId}, which no caller sent`,
     }));
 };
 
-const neverBack: Check = ({ probes }) => {
+const configNeverGoesBack: Check = ({ probes }) => {
   const violations: Violation[] = [];
   const lives = groupBy(probes, ({ entry, life }) => `${entry}/${life}`);
-  for (const [life, asked] of lives) {
-    for (const late of asked.filter((probe) => probe.status === 404)) {
-      const before = asked.find(
+  for (const [life, processProbes] of lives) {
+    for (const late of processProbes.filter((probe) => probe.status === 404)) {
+      const before = processProbes.find(
         (probe) =>
           probe.version >= late.version &&
           probe.status !== 404 &&
@@ -125,24 +130,29 @@
   return violations;
 };
 
-const lateNews = (records: SoakRecords, news: NewsRecord, at: number) =>
-  at > news.at + NEWS_BOUND_MS && isCalm(records, news.at - CALM_BEFORE_MS, at);
+const isPropagationOverdue = (
+  records: SoakRecords,
+  change: ChangeRecord,
+  at: number,
+) =>
+  at > change.at + MAX_PROPAGATION_MS &&
+  isCalm(records, change.at - CALM_BEFORE_MS, at);
 
-const newsInForce: Check = (records) => {
+const changesTakeEffect: Check = (records) => {
   const violations: Violation[] = [];
-  for (const news of records.news) {
-    if (news.kind === "configuration") {
+  for (const change of records.news) {
+    if (change.kind === "configuration") {
       for (const { version, sentAt, status, entry } of records.probes) {
-        const isLate = lateNews(records, news, sentAt);
-        if (String(version) !== news.subject || !isLate) continue;
+        const isOverdue = isPropagationOverdue(records, change, sentAt);
+        if (String(version) !== change.subject || !isOverdue) continue;
         if (status !== 404) continue;
         const what = `${entry} did not know ${version} in time`;
         violations.push({ promise: "configuration in force", what });
       }
     } else {
       for (const { replica, at, requestId } of records.runs) {
-        if (replica !== news.subject) continue;
-        if (!lateNews(records, news, at)) continue;
+        if (replica !== change.subject) continue;
+        if (!isPropagationOverdue(records, change, at)) continue;
         const what = `${replica} is leaving and got ${requestId}`;
         violations.push({ promise: "no work for leaving replicas", what });
       }
@@ -157,16 +167,16 @@
     0,
   );
   const requests = calls.length + probes.length;
-  const most = requests * RETRY_RATIO + RETRY_BURST;
-  if (further <= most) return [];
+  const maxFurther = requests * RETRY_BUDGET_RATIO + RETRY_BURST;
+  if (further <= maxFurther) return [];
   const what = `${further} further sends for ${requests} requests`;
   return [{ promise: "bounded retries", what }];
 };
 
 /**
- * A request that crossed the close of its connection and ran nowhere was not
- * cut, nor one whose time was over: a machine that stands still for seconds
- * ends requests without any fault of the product.
+ * A request that ran nowhere because its connection closed as it was sent does
+ * not count as cut. Nor does one past its deadline: a machine that hangs for
+ * seconds ends requests through no fault of the system.
  */
 const plannedStopCutsNothing: Check = (records) => {
   const ran = new Set(records.runs.map((run) => run.requestId));
@@ -187,7 +197,7 @@
     });
 };
 
-const oneHolder: Check = ({ orders }) => {
+const fencesHaveOneHolder: Check = ({ orders }) => {
   const violations: Violation[] = [];
   for (const [replica, taken] of groupBy(orders, (order) => order.replica)) {
     const holders = new Map<number, string>();
@@ -207,18 +217,18 @@
 };
 
 const CHECKS: readonly Check[] = [
-  wholeAnswers,
+  answersAreComplete,
   atMostOnce,
-  notRunIsTrue,
-  onlyAsked,
-  neverBack,
-  newsInForce,
+  notRunAnswersHold,
+  onlySentRequestsRun,
+  configNeverGoesBack,
+  changesTakeEffect,
   boundedRetries,
   plannedStopCutsNothing,
-  oneHolder,
+  fencesHaveOneHolder,
   ...SIGNAL_CHECKS,
 ];
 
-/** Everything that the records prove to be wrong. */
+/** Returns every violation that the records prove. */
 export const findViolations = (records: SoakRecords): Violation[] =>
   CHECKS.flatMap((check) => check(records));
--- a/soak/daemonProcess.ts
+++ b/soak/daemonProcess.ts
@@ -1,4 +1,4 @@
-/** One process of the product under test: start, signals, lives. */
+/** One daemon process under test: start, signals, restarts. */
 import { spawn } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
 import { writeFileSync } from "node:fs";
@@ -12,24 +12,24 @@
 import type { MachineSettings } from "../platform/standins/settingsFile.js";
 import { DIST } from "../tests/support/processes.js";
 
-const SCRIPT = path.join(DIST, "platform/main.js");
-/** Lines that are kept of each process for whoever looks into a failure. */
-const KEPT_LINES = 20_000;
+const DAEMON_SCRIPT = path.join(DIST, "platform/main.js");
+/** Number of most recent log lines kept per process, to debug failures. */
+const MAX_LOG_LINES = 20_000;
 
-/** What a process logs when it serves. */
+/** Log line of a process that is ready to serve. */
 interface StartedLine {
   message?: string;
   callers?: string;
 }
 
 export class DaemonProcess {
-  /** Counts its starts. */
+  /** Number of starts so far. */
   life = 0;
-  /** Where callers reach it; undefined while it is not up. */
-  callers: string | undefined;
-  readonly lines: string[] = [];
+  /** Address that callers connect to; undefined while it is not up. */
+  callerAddress: string | undefined;
+  readonly logLines: string[] = [];
   private child: ChildProcess | undefined;
-  private ended: Promise<void> = Promise.resolve();
+  private exited: Promise<void> = Promise.resolve();
   isPaused = false;
 
   constructor(
@@ -45,35 +45,35 @@
     return this.child !== undefined && !this.isPaused;
   }
 
-  /** Resolves when it serves. */
+  /** Resolves when the process serves, or has exited. */
   async start(): Promise<void> {
-    await this.ended;
+    await this.exited;
     const file = path.join(this.folder, `${this.id}.yaml`);
     writeFileSync(file, settingsText(this.machine));
-    const child = spawn(process.execPath, [SCRIPT], {
+    const child = spawn(process.execPath, [DAEMON_SCRIPT], {
       env: { PATH: process.env.PATH, ...settingsEnvironment(file) },
       stdio: ["ignore", "pipe", "pipe"],
     });
     this.child = child;
     this.life += 1;
-    this.ended = new Promise((resolve) =>
+    this.exited = new Promise((resolve) =>
       child.on("close", () => {
         this.child = undefined;
-        this.callers = undefined;
+        this.callerAddress = undefined;
         resolve();
       }),
     );
-    child.stderr?.on("data", (text: Buffer) => this.keep(text.toString()));
+    child.stderr?.on("data", (text: Buffer) => this.appendLog(text.toString()));
     const started = new Promise<void>((resolve) => {
       createInterface({ input: child.stdout! }).on("line", (line) => {
-        this.keep(line);
+        this.appendLog(line);
         const { message, callers } = JSON.parse(line) as StartedLine;
         if (message !== "started") return;
-        this.callers = callers;
+        this.callerAddress = callers;
         resolve();
       });
     });
-    await Promise.race([started, this.ended]);
+    await Promise.race([started, this.exited]);
   }
 
   signal(name: NodeJS.Signals): void {
@@ -82,21 +82,21 @@
     this.child?.kill(name);
   }
 
-  /** Sends SIGTERM and resolves when it has ended. */
+  /** Sends SIGTERM and resolves when the process has exited. */
   async stop(): Promise<void> {
     this.signal("SIGTERM");
-    await this.ended;
+    await this.exited;
   }
 
-  /** Sends SIGKILL and resolves when it has ended. */
+  /** Sends SIGKILL and resolves when the process has exited. */
   async kill(): Promise<void> {
     this.signal("SIGCONT");
     this.signal("SIGKILL");
-    await this.ended;
+    await this.exited;
   }
 
-  private keep(line: string): void {
-    this.lines.push(line);
-    if (this.lines.length > KEPT_LINES) this.lines.shift();
+  private appendLog(line: string): void {
+    this.logLines.push(line);
+    if (this.logLines.length > MAX_LOG_LINES) this.logLines.shift();
   }
 }
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -1,6 +1,7 @@
 /**
- * Whether what replicas say of themselves was heeded, by entry: which entry
- * sent a request is known from its caller. Pure: records in, violations out.
+ * Checks that each entry respects what replicas signal: limits, back-offs and
+ * leaving. The record of the caller tells which entry sent a request. Pure
+ * functions from records to violations.
  */
 import { judgeRate } from "../platform/standins/rateJudge.js";
 import type { ToldSignals } from "../platform/standins/replica.js";
@@ -13,34 +14,41 @@
 
 type Check = (records: SoakRecords) => Violation[];
 
-/** The users' bounds on limits. */
+/** Bounds for the check of rate limits, as the users require. */
 const RATE_BOUNDS = { contactMs: 3000, windowMs: 4000 };
-/** What befell an entry or the way to a replica excuses it for this, ms. */
-const EXCUSED_MS = 3000;
-/** What an answer says binds the entry that it went through after this, ms. */
-const TOLD_MS = 500;
-/** Requests of one entry within a back-off that was asked of it. */
-const MOST_IN_BACK_OFF = 2;
-/** A replica that says it leaves may still be sent to for this, ms. */
-const LEAVING_MS = 2000;
+/**
+ * Requests are exempt for this long after a fault of the entry or of the link
+ * to the replica, ms.
+ */
+const FAULT_RECOVERY_MS = 3000;
+/** An entry must apply the signals of an answer after this time, ms. */
+const SIGNAL_DELAY_MS = 500;
+/** Most requests of one entry within a back-off that it was asked for. */
+const MAX_REQUESTS_IN_BACK_OFF = 2;
+/** A replica may still receive requests for this long after it says that it
+ * leaves, ms. */
+const LEAVING_GRACE_MS = 2000;
 const MS_PER_SECOND = 1000;
 const SECONDS = /^\d+(\.\d+)?$/;
 
-/** An arrival, and the life of the entry that sent it. */
-interface Sent extends ArrivalRecord {
+/** An arrival with the entry process that sent it. */
+interface SentRequest extends ArrivalRecord {
   entry: string;
-  /** When its caller sent it. */
+  /** When the caller sent it. */
   askedAt: number;
 }
 
-/** By replica, in order of time; of no known caller: left out. */
-const sentTo = ({
+/**
+ * Arrivals by replica, in order of time. Leaves out those without a known
+ * caller.
+ */
+const requestsByReplica = ({
   arrivals,
   calls,
   probes,
-}: SoakRecords): Map<string, Sent[]> => {
+}: SoakRecords): Map<string, SentRequest[]> => {
   const callers = new Map([...calls, ...probes].map((item) => [item.id, item]));
-  const found = new Map<string, Sent[]>();
+  const found = new Map<string, SentRequest[]>();
   for (const arrival of arrivals) {
     const caller = callers.get(arrival.requestId);
     if (caller === undefined) continue;
@@ -52,26 +60,26 @@
   return found;
 };
 
-/** Faults that excuse the process, or the way to the replica, that they strike. */
-const EXCUSES: readonly string[] = [
+/** Faults that exempt the process or the replica link that they hit. */
+const EXEMPTING_FAULTS: readonly string[] = [
   "process killed",
   "process paused",
   "process stopped",
   "replica link",
 ];
 
-/** Whether the entry or the way to the replica was harmed shortly before. */
-const isExcused = (
+/** Whether a fault hit the entry or the replica link shortly before. */
+const isExempt = (
   { faults }: SoakRecords,
-  { entry, replica, at }: Sent,
+  { entry, replica, at }: SentRequest,
 ): boolean => {
-  const struck = [entry.split("/")[0], replica];
+  const targets = [entry.split("/")[0], replica];
   return faults.some(
     ({ name, target, from, until }) =>
-      struck.includes(target) &&
-      EXCUSES.includes(name) &&
+      targets.includes(target) &&
+      EXEMPTING_FAULTS.includes(name) &&
       from <= at &&
-      until + EXCUSED_MS >= at,
+      until + FAULT_RECOVERY_MS >= at,
   );
 };
 
@@ -98,12 +106,12 @@
 };
 
 /**
- * By life of an entry: when a caller first received the headers of an answer
- * that the replica signed and that named a limit.
+ * By entry process: when a caller first received the headers of an answer that
+ * the replica signed and that named a limit.
  */
-const firstForwarded = (
+const firstForwardedLimit = (
   { calls, probes, stalls }: SoakRecords,
-  sent: readonly Sent[],
+  sent: readonly SentRequest[],
 ): Map<string, number> => {
   const callers = new Map([...calls, ...probes].map((item) => [item.id, item]));
   const forwarded = new Map<string, number>();
@@ -117,24 +125,24 @@
   return forwarded;
 };
 
-/** When the first answer that said it left for each life of an entry. */
-const firstTold = (
-  sent: readonly Sent[],
-  says: (told: ToldSignals) => boolean,
+/** When the replica first sent the signal to each entry process. */
+const firstSignalled = (
+  sent: readonly SentRequest[],
+  matches: (signals: ToldSignals) => boolean,
 ): Map<string, number> => {
-  const told = new Map<string, number>();
+  const firstAt = new Map<string, number>();
   for (const { entry, at, told: signals } of sent) {
-    if (says(signals) && !told.has(entry)) told.set(entry, at);
+    if (matches(signals) && !firstAt.has(entry)) firstAt.set(entry, at);
   }
-  return told;
+  return firstAt;
 };
 
-const limitsKept: Check = (records) =>
-  [...sentTo(records)].flatMap(([replica, sent]) => {
+const limitsRespected: Check = (records) =>
+  [...requestsByReplica(records)].flatMap(([replica, sent]) => {
     const named = records.limits.filter((item) => item.replica === replica);
-    const told = firstForwarded(records, sent);
+    const told = firstForwardedLimit(records, sent);
     const arrivals = sent
-      .filter((item) => !isExcused(records, item))
+      .filter((item) => !isExempt(records, item))
       .map((item) => ({ ...item, at: earliestAt(records.stalls, item.at) }));
     const [first] = judgeRate({ arrivals, named, told }, RATE_BOUNDS);
     if (first === undefined) return [];
@@ -148,32 +156,32 @@
     ? Number(backOff) * MS_PER_SECOND
     : 0;
 
-const backOffsKept: Check = (records) =>
-  [...sentTo(records)].flatMap(([replica, sent]) =>
+const backOffsRespected: Check = (records) =>
+  [...requestsByReplica(records)].flatMap(([replica, sent]) =>
     sent.flatMap(({ entry, at, told }) => {
       const until = at + backOffMs(told);
       const within = sent.filter(
         (item) =>
           item.entry === entry &&
-          item.at >= at + TOLD_MS &&
+          item.at >= at + SIGNAL_DELAY_MS &&
           item.at < until &&
-          !isExcused(records, item),
+          !isExempt(records, item),
       );
-      if (within.length <= MOST_IN_BACK_OFF) return [];
+      if (within.length <= MAX_REQUESTS_IN_BACK_OFF) return [];
       const what = `${replica}: ${within.length} of ${entry} in a back-off`;
       return [{ promise: "back-offs are kept", what }];
     }),
   );
 
-const leavingHeeded: Check = (records) =>
-  [...sentTo(records)].flatMap(([replica, sent]) => {
-    const told = firstTold(sent, ({ isLeaving }) => isLeaving);
+const leavingRespected: Check = (records) =>
+  [...requestsByReplica(records)].flatMap(([replica, sent]) => {
+    const toldAt = firstSignalled(sent, ({ isLeaving }) => isLeaving);
     return sent.flatMap((item) => {
-      const since = told.get(item.entry) ?? Infinity;
+      const since = toldAt.get(item.entry) ?? Infinity;
       const isLate =
-        item.at > since + LEAVING_MS &&
+        item.at > since + LEAVING_GRACE_MS &&
         item.askedAt > since &&
-        !isExcused(records, item);
+        !isExempt(records, item);
       if (!isLate) return [];
       const what = `${replica} had told ${item.entry}, got ${item.requestId}`;
       return [{ promise: "no work for who says that it leaves", what }];
@@ -181,7 +189,7 @@
   });
 
 export const SIGNAL_CHECKS: readonly Check[] = [
-  limitsKept,
-  backOffsKept,
-  leavingHeeded,
+  limitsRespected,
+  backOffsRespected,
+  leavingRespected,
 ];
