--- a/src/claims/storedClaims.ts
+++ b/src/claims/storedClaims.ts
@@ -4,7 +4,7 @@
  */
 import { randomUUID } from "node:crypto";
 
-import { ABSENT, settledWrite } from "../store/index.js";
+import { ABSENT, confirmedWrite } from "../store/index.js";
 import type { ObjectStore, StoredObject } from "../store/index.js";
 import type { RequestFailure } from "../shared/errors.js";
 import { fingerprint } from "../shared/utils.js";
@@ -131,7 +131,7 @@
       }
       const expected = shard.last?.version ?? ABSENT;
       const writeId = randomUUID();
-      const result = await settledWrite<ClaimTable>(
+      const result = await confirmedWrite<ClaimTable>(
         this.store,
         CLAIMS_KIND,
         shard.name,
--- a/src/config/applyConfig.ts
+++ b/src/config/applyConfig.ts
@@ -6,7 +6,7 @@
 import { randomUUID } from "node:crypto";
 
 import { OrderError } from "../shared/errors.js";
-import { ABSENT, settledWrite } from "../store/index.js";
+import { ABSENT, confirmedWrite } from "../store/index.js";
 import type { ObjectStore, StoredObject } from "../store/index.js";
 import { toSnapshot } from "./configState.js";
 import type { ConfigHead, ConfigSnapshot, ConfigState } from "./configState.js";
@@ -24,18 +24,18 @@
   snapshot: ConfigSnapshot,
   known: ConfigState | undefined,
 ): Promise<void> => {
-  for (const [print, body] of Object.entries(snapshot.bodies)) {
-    if (known?.bodies[print] !== undefined) continue;
-    const result = await settledWrite(
+  for (const [partFingerprint, body] of Object.entries(snapshot.bodies)) {
+    if (known?.bodies[partFingerprint] !== undefined) continue;
+    const result = await confirmedWrite(
       store,
       CONFIG_PART_KIND,
-      print,
+      partFingerprint,
       { body },
       ABSENT,
       randomUUID(),
     );
-    const isThere = result.kind === "written" || result.kind === "conflict";
-    if (!isThere) throw new OrderError(`object API: ${result.why}`);
+    const isStored = result.kind === "written" || result.kind === "conflict";
+    if (!isStored) throw new OrderError(`object API: ${result.why}`);
   }
 };
 
@@ -52,17 +52,17 @@
   const head: StoredObject<ConfigHead> | undefined =
     await store.get<ConfigHead>(CONFIG_KIND, HEAD_NAME);
   const stored = head?.value.number ?? 0;
-  const held = known?.head.number ?? 0;
-  if (stored < held) {
+  const localNumber = known?.head.number ?? 0;
+  if (stored < localNumber) {
     throw new OrderError(
-      `the object API shows configuration ${stored}, older than ${held} ` +
+      `the object API shows configuration ${stored}, older than ${localNumber} ` +
         "in force; nothing was changed",
     );
   }
-  if (stored > held) return { kind: "lost", number: stored };
+  if (stored > localNumber) return { kind: "lost", number: stored };
   const snapshot = toSnapshot(config, stored + 1);
   await writeParts(store, snapshot, known);
-  const result = await settledWrite<ConfigHead>(
+  const result = await confirmedWrite<ConfigHead>(
     store,
     CONFIG_KIND,
     HEAD_NAME,
--- a/src/config/configKeeper.ts
+++ b/src/config/configKeeper.ts
@@ -4,7 +4,7 @@
  */
 import { StoreError } from "../shared/errors.js";
 import type { ObjectStore } from "../store/index.js";
-import { adoptSnapshot, missingPrints } from "./configState.js";
+import { adoptSnapshot, missingFingerprints } from "./configState.js";
 import type { ConfigHead, ConfigSnapshot, ConfigState } from "./configState.js";
 
 /** Object kind of the head; its one name is `HEAD_NAME`. */
@@ -48,19 +48,24 @@
     const found = await this.store.get<ConfigHead>(CONFIG_KIND, HEAD_NAME);
     if (found === undefined || found.value.number <= this.number) return;
     const bodies: Record<string, string> = {};
-    for (const print of missingPrints(this.state, found.value)) {
-      bodies[print] = await this.readPart(print);
+    for (const partFingerprint of missingFingerprints(
+      this.state,
+      found.value,
+    )) {
+      bodies[partFingerprint] = await this.readPart(partFingerprint);
     }
     this.adopt({ head: found.value, bodies });
   }
 
-  private async readPart(print: string): Promise<string> {
+  private async readPart(partFingerprint: string): Promise<string> {
     const part = await this.store.get<{ body: string }>(
       CONFIG_PART_KIND,
-      print,
+      partFingerprint,
     );
     if (part === undefined) {
-      throw new StoreError(`part ${print} of the configuration is missing`);
+      throw new StoreError(
+        `part ${partFingerprint} of the configuration is missing`,
+      );
     }
     return part.value.body;
   }
--- a/src/config/configState.ts
+++ b/src/config/configState.ts
@@ -40,9 +40,9 @@
   const bodies: Record<string, string> = {};
   const add = (name: string, value: unknown) => {
     const body = JSON.stringify(value);
-    const print = fingerprint(body);
-    parts[name] = print;
-    bodies[print] = body;
+    const partFingerprint = fingerprint(body);
+    parts[name] = partFingerprint;
+    bodies[partFingerprint] = body;
   };
   add(FLEET_PART, config.fleet);
   for (const service of config.services) {
@@ -63,9 +63,12 @@
   bodies: Record<string, string>,
 ): Map<string, Fleet | Service> => {
   const parsed = new Map<string, Fleet | Service>();
-  for (const [name, print] of Object.entries(head.parts)) {
-    const known = state?.parsed.get(print);
-    parsed.set(print, known ?? parsePart(name, bodies[print] ?? ""));
+  for (const [name, partFingerprint] of Object.entries(head.parts)) {
+    const cached = state?.parsed.get(partFingerprint);
+    parsed.set(
+      partFingerprint,
+      cached ?? parsePart(name, bodies[partFingerprint] ?? ""),
+    );
   }
   return parsed;
 };
@@ -82,11 +85,13 @@
 };
 
 /** Prints of the parts that a head names and a state does not hold. */
-export const missingPrints = (
+export const missingFingerprints = (
   state: ConfigState | undefined,
   head: ConfigHead,
 ): string[] =>
-  Object.values(head.parts).filter((print) => !(state?.bodies[print] ?? ""));
+  Object.values(head.parts).filter(
+    (partFingerprint) => !(state?.bodies[partFingerprint] ?? ""),
+  );
 
 /**
  * The state after hearing of a snapshot. An older or equal number changes
@@ -99,12 +104,12 @@
   if (state !== undefined && snapshot.head.number <= state.head.number) {
     return state;
   }
-  const held = { ...state?.bodies, ...snapshot.bodies };
+  const knownBodies = { ...state?.bodies, ...snapshot.bodies };
   const bodies: Record<string, string> = {};
-  for (const print of Object.values(snapshot.head.parts)) {
-    const body = held[print];
+  for (const partFingerprint of Object.values(snapshot.head.parts)) {
+    const body = knownBodies[partFingerprint];
     if (body === undefined) return state;
-    bodies[print] = body;
+    bodies[partFingerprint] = body;
   }
   const parsed = parseParts(state, snapshot.head, bodies);
   const config = assemble(snapshot.head, parsed);
--- a/src/config/configWatch.ts
+++ b/src/config/configWatch.ts
@@ -9,10 +9,10 @@
 import { CONFIG_KIND } from "./configKeeper.js";
 import type { ConfigKeeper } from "./configKeeper.js";
 
-const WATCH_MS = 10_000;
-const FIRST_BACKOFF_MS = 200;
-const LONGEST_BACKOFF_MS = 5000;
-const IDLE_MS = 1000;
+const WATCH_TIMEOUT_MS = 10_000;
+const BASE_BACKOFF_MS = 200;
+const MAX_BACKOFF_MS = 5000;
+const IDLE_POLL_MS = 1000;
 
 export interface ConfigWatchOptions {
   store: ObjectStore;
@@ -34,13 +34,13 @@
   /** Pause before the next step, ms. */
   get pauseMs(): number {
     if (this.failures > 0) {
-      const longest = Math.min(
-        LONGEST_BACKOFF_MS,
-        FIRST_BACKOFF_MS * 2 ** this.failures,
+      const backoffMs = Math.min(
+        MAX_BACKOFF_MS,
+        BASE_BACKOFF_MS * 2 ** this.failures,
       );
-      return longest * (0.5 + this.options.rng() / 2);
+      return backoffMs * (0.5 + this.options.rng() / 2);
     }
-    return this.options.isWatcher() ? 0 : IDLE_MS;
+    return this.options.isWatcher() ? 0 : IDLE_POLL_MS;
   }
 
   async step(): Promise<void> {
@@ -65,7 +65,11 @@
       await keeper.refresh();
       this.needsRead = false;
     }
-    const reply = await store.watch([CONFIG_KIND], this.revision, WATCH_MS);
+    const reply = await store.watch(
+      [CONFIG_KIND],
+      this.revision,
+      WATCH_TIMEOUT_MS,
+    );
     this.revision = reply.revision;
     if (reply.events.length > 0) await keeper.refresh();
   }
--- a/src/config/index.ts
+++ b/src/config/index.ts
@@ -1,15 +1,15 @@
 export {
   adoptSnapshot,
   FLEET_PART,
-  missingPrints,
+  missingFingerprints,
   toSnapshot,
 } from "./configState.js";
 export type { ConfigHead, ConfigSnapshot, ConfigState } from "./configState.js";
-export { configSchema, REPEATS, ROLES, URGENCIES } from "./types.js";
+export { configSchema, REPEAT_POLICIES, ROLES, URGENCIES } from "./types.js";
 export type {
   Config,
   Fleet,
-  Repeat,
+  RepeatPolicy,
   RequestClass,
   Role,
   Service,
--- a/src/config/types.ts
+++ b/src/config/types.ts
@@ -18,10 +18,10 @@
 /** How soon a request class must be served, most urgent first. */
 export type Urgency = (typeof URGENCIES)[number];
 
-export const REPEATS = ["safe", "never"] as const;
+export const REPEAT_POLICIES = ["safe", "never"] as const;
 
 /** Whether a request that may have run can be sent again. */
-export type Repeat = (typeof REPEATS)[number];
+export type RepeatPolicy = (typeof REPEAT_POLICIES)[number];
 
 export const ROLES = ["mixed", "prefill", "decode"] as const;
 
@@ -33,7 +33,7 @@
   urgency: z.enum(URGENCIES),
   /** Longest time from arrival to the end of the answer, ms. */
   deadlineMs: z.number().int().min(10).max(3_600_000),
-  repeat: z.enum(REPEATS).default("safe"),
+  repeat: z.enum(REPEAT_POLICIES).default("safe"),
   /** Requests that belong to this class without a header. */
   match: z
     .strictObject({
--- a/src/control/controlStore.ts
+++ b/src/control/controlStore.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from "node:crypto";
 
 import { OrderError } from "../shared/errors.js";
-import { ABSENT, settledWrite } from "../store/index.js";
+import { ABSENT, confirmedWrite } from "../store/index.js";
 import type { ObjectStore } from "../store/index.js";
 import { giveOrder } from "./controlRecord.js";
 import type { OrderAnswer, OrderRequest } from "./controlRecord.js";
@@ -92,7 +92,7 @@
     value: T,
     expected: number,
   ): Promise<number | undefined> {
-    const result = await settledWrite<T>(
+    const result = await confirmedWrite<T>(
       this.store,
       kind,
       name,
--- a/src/daemon/clock.ts
+++ b/src/daemon/clock.ts
@@ -6,16 +6,16 @@
  * by a time service stay far below it; shorter suspensions stay within the
  * margins of leases.
  */
-const LEAST_SUSPENSION_MS = 50;
+const MIN_SUSPENSION_MS = 50;
 /** Reads of two clocks further apart than this tell nothing, ms. */
-const MOST_READ_MS = 5;
-const MOST_READS = 4;
+const MAX_READ_GAP_MS = 5;
+const MAX_READ_ATTEMPTS = 4;
 
 /** Milliseconds of a clock that only goes forward. */
 export const monotonicNow = (): number => performance.now();
 
 /** Both clocks as of one instant, ms. */
-interface Instant {
+interface ClockReading {
   steady: number;
   wall: number;
 }
@@ -35,23 +35,26 @@
   steadyNow: () => number,
   wallNow: () => number,
 ): (() => number) => {
-  let last = readBoth(steadyNow, wallNow);
+  let last = readClocks(steadyNow, wallNow);
   let suspendedMs = 0;
   return () => {
-    const next = readBoth(steadyNow, wallNow);
+    const next = readClocks(steadyNow, wallNow);
     const gainedMs = next.wall - last.wall - (next.steady - last.steady);
-    if (gainedMs >= LEAST_SUSPENSION_MS) suspendedMs += gainedMs;
+    if (gainedMs >= MIN_SUSPENSION_MS) suspendedMs += gainedMs;
     last = next;
     return next.steady + suspendedMs;
   };
 };
 
 /** A pause between the two reads must not look like a suspension. */
-const readBoth = (steadyNow: () => number, wallNow: () => number): Instant => {
+const readClocks = (
+  steadyNow: () => number,
+  wallNow: () => number,
+): ClockReading => {
   for (let reads = 1; ; reads += 1) {
     const steady = steadyNow();
     const wall = wallNow();
-    const isClose = steadyNow() - steady <= MOST_READ_MS;
-    if (isClose || reads === MOST_READS) return { steady, wall };
+    const isClose = steadyNow() - steady <= MAX_READ_GAP_MS;
+    if (isClose || reads === MAX_READ_ATTEMPTS) return { steady, wall };
   }
 };
--- a/src/daemon/runtime.ts
+++ b/src/daemon/runtime.ts
@@ -94,7 +94,7 @@
 };
 
 /** The members that may watch the store for this failure domain. */
-const domainView = (membership: Membership): RankingCache => {
+const watchCandidates = (membership: Membership): RankingCache => {
   const { domain } = membership.self;
   return new RankingCache(
     membership,
@@ -110,7 +110,7 @@
 ): void => {
   const { supervisor, settings, store, keeper, log, rng } = runtime;
   supervisor.every("gossip", settings.peers.periodMs, () => gossip.round());
-  const domain = domainView(membership);
+  const domain = watchCandidates(membership);
   const watch = new ConfigWatch({
     store,
     keeper,
@@ -130,7 +130,7 @@
  * A process that starts takes the newest configuration that its peers or the
  * store know before it serves.
  */
-export const learnConfiguration = async (
+export const loadInitialConfig = async (
   runtime: Runtime,
   gossip: Gossip,
 ): Promise<void> => {
--- a/src/daemon/stopSignals.ts
+++ b/src/daemon/stopSignals.ts
@@ -4,7 +4,7 @@
 
 const EXIT_STOP_FAILED = 1;
 /** Time for the last log lines to be written, ms. */
-const LAST_LINES_MS = 100;
+const LOG_FLUSH_MS = 100;
 
 /** A second signal while stopping changes nothing: the stop goes on. */
 export const runUntilStopped = (daemon: Daemon): void => {
@@ -13,7 +13,7 @@
     if (isStopping) return;
     isStopping = true;
     daemon.stop().then(
-      () => setTimeout(() => process.exit(0), LAST_LINES_MS),
+      () => setTimeout(() => process.exit(0), LOG_FLUSH_MS),
       (err) => {
         process.stderr.write(`snowgated: ${errText(err)}\n`);
         process.exit(EXIT_STOP_FAILED);
--- a/src/daemon/vmListWatch.ts
+++ b/src/daemon/vmListWatch.ts
@@ -40,7 +40,7 @@
 }
 
 /** Tells the members of sides whose VM leaves. */
-export const noteLeavingVms = (
+export const markLeavingVms = (
   vms: VmEntry[],
   keeper: ConfigKeeper,
   membership: Membership,
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -8,7 +8,7 @@
 import type { Choice, RouteRequest, Router } from "../routing/index.js";
 import { HEADERS } from "../shared/constants.js";
 import type { RequestFailure } from "../shared/errors.js";
-import { passedHeaders } from "../http/index.js";
+import { forwardedHeaders } from "../http/index.js";
 import type { Metrics } from "../telemetry/index.js";
 import type { AttemptResult, Fault, SideClient } from "./sideClient.js";
 import type { StreamRelay } from "./streamAnswer.js";
@@ -118,7 +118,7 @@
       ? { [HEADERS.resumeFrom]: String(relay.tokens) }
       : {};
     return {
-      ...passedHeaders(req.headers, () => false),
+      ...forwardedHeaders(req.headers, () => false),
       [HEADERS.requestId]: id,
       [HEADERS.auth]: this.options.secret,
       [HEADERS.upstream]: choice.upstream.id,
@@ -185,7 +185,7 @@
     relay: StreamRelay,
   ): Promise<AttemptEnd> {
     relay.begin({
-      ...passedHeaders(res.headers, () => false),
+      ...forwardedHeaders(res.headers, () => false),
       [HEADERS.requestId]: request.id,
       "cache-control": "no-cache",
     });
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -3,12 +3,12 @@
 import {
   createGossip,
   createMembership,
-  learnConfiguration,
+  loadInitialConfig,
   startCommonTasks,
 } from "../daemon/runtime.js";
 import type { Runtime } from "../daemon/runtime.js";
 import type { Daemon } from "../daemon/types.js";
-import { HttpVmList, noteLeavingVms } from "../daemon/vmListWatch.js";
+import { HttpVmList, markLeavingVms } from "../daemon/vmListWatch.js";
 import { listen } from "../http/index.js";
 import { RankingCache } from "../membership/index.js";
 import type { Membership } from "../membership/index.js";
@@ -41,7 +41,7 @@
   const peers = await peerServer.listen(settings.listen.peers);
   const membership = createMembership(runtime, settings.id, "entry", peers);
   const gossip = createGossip(runtime, membership);
-  peerServer.answer(gossip);
+  peerServer.setHandlers(gossip);
   const client = createSideClient(runtime, router, membership, gossip);
   const callers = createCallerServer(runtime, settings, router, client);
   const operators = createOperators(runtime, settings, router, membership);
@@ -52,7 +52,7 @@
     );
     router.retain(new Set(ids));
   });
-  await learnConfiguration(runtime, gossip);
+  await loadInitialConfig(runtime, gossip);
   startCommonTasks(runtime, membership, gossip);
   startVmList(runtime, settings, membership);
   const operatorsAt = await listen(operators.server, settings.listen.operators);
@@ -62,7 +62,7 @@
     stop: async () => {
       callers.startLeaving();
       membership.announce("leaving");
-      void gossip.spread();
+      void gossip.propagate();
       await pauseFor(settings.lameDuckMs);
       await callers.finish();
       operators.server.close();
@@ -189,6 +189,6 @@
   supervisor.every("vm-list", settings.vmList.pollMs, async () => {
     // A few of a failure domain read the list; the rest hear from peers.
     if (!readers.isSelfRanked("vm-list", VM_LIST_READERS)) return;
-    noteLeavingVms(await list.read(), keeper, membership, now());
+    markLeavingVms(await list.read(), keeper, membership, now());
   });
 };
--- a/src/entry/requestFlow.ts
+++ b/src/entry/requestFlow.ts
@@ -5,7 +5,7 @@
 import { randomUUID } from "node:crypto";
 
 import type { Claims, ClaimRequest, StoredAnswer } from "../claims/index.js";
-import { passedHeaders } from "../http/index.js";
+import { forwardedHeaders } from "../http/index.js";
 import {
   decideRetry,
   creditRetryBudget,
@@ -248,7 +248,7 @@
     }
     if (!res.destroyed) {
       res.writeHead(answer.status, {
-        ...passedHeaders(answer.headers, () => false),
+        ...forwardedHeaders(answer.headers, () => false),
         "content-length": answer.body.length,
         [HEADERS.requestId]: request.id,
       });
--- a/src/http/headers.ts
+++ b/src/http/headers.ts
@@ -4,7 +4,7 @@
 import { INTERNAL_HEADER_PREFIX } from "../shared/constants.js";
 
 /** Headers of one connection that are not passed on. */
-const HOP_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "transfer-encoding",
@@ -19,16 +19,16 @@
 ]);
 
 /** Header names of a hop are dropped, and internal ones where not wanted. */
-export const passedHeaders = (
+export const forwardedHeaders = (
   headers: http.IncomingHttpHeaders,
   keepInternal: (name: string) => boolean,
 ): http.OutgoingHttpHeaders => {
-  const passed: http.OutgoingHttpHeaders = {};
+  const forwarded: http.OutgoingHttpHeaders = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (HOP_HEADERS.has(name) || value === undefined) continue;
+    if (HOP_BY_HOP_HEADERS.has(name) || value === undefined) continue;
     const isInternal = name.startsWith(INTERNAL_HEADER_PREFIX);
     if (isInternal && !keepInternal(name)) continue;
-    passed[name] = value;
+    forwarded[name] = value;
   }
-  return passed;
+  return forwarded;
 };
--- a/src/http/index.ts
+++ b/src/http/index.ts
@@ -1,6 +1,6 @@
-export { passedHeaders } from "./headers.js";
+export { forwardedHeaders } from "./headers.js";
 export { exchange, ExchangeError } from "./request.js";
-export type { ExchangeOptions, JsonAnswer } from "./request.js";
+export type { ExchangeOptions, JsonResponse } from "./request.js";
 export {
   BodyTooLargeError,
   listen,
--- a/src/http/request.ts
+++ b/src/http/request.ts
@@ -5,7 +5,7 @@
 const agent = new http.Agent({ keepAlive: true, maxSockets: 64 });
 
 /** A whole answer. */
-export interface JsonAnswer {
+export interface JsonResponse {
   status: number;
   headers: http.IncomingHttpHeaders;
   text: string;
@@ -34,7 +34,7 @@
 }
 
 /** Sends and reads whole; rejects with `ExchangeError`. */
-export const exchange = (options: ExchangeOptions): Promise<JsonAnswer> =>
+export const exchange = (options: ExchangeOptions): Promise<JsonResponse> =>
   new Promise((resolve, reject) => {
     const body =
       options.body === undefined ? options.text : JSON.stringify(options.body);
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -18,10 +18,10 @@
 import type { PeerHandlers, PeerLink } from "./peerLink.js";
 
 /** Exchanges in a row with a differing hash before all members are asked. */
-const DIFFERENCES_TO_FETCH = 5;
+const MAX_HASH_MISMATCHES = 5;
 
 /** Part of the rounds that also ask a declared address, known or not. */
-const SEED_PART = 0.1;
+const SEED_PROBABILITY = 0.1;
 
 /** What gossip needs of the link between processes. */
 export type GossipLink = Pick<
@@ -41,40 +41,44 @@
 }
 
 export class Gossip implements PeerHandlers {
-  private differences = 0;
-  private isSpreading = false;
+  private hashMismatches = 0;
+  private isPropagating = false;
 
   constructor(private readonly options: GossipOptions) {
-    options.keeper.onChange(() => void this.spread());
+    options.keeper.onChange(() => void this.propagate());
   }
 
   /** One round: exchange with a few members, or with seeds while alone. */
   async round(): Promise<void> {
     const { membership, now } = this.options;
     membership.tick(now());
-    await Promise.all(this.targets().map((target) => this.talkTo(target)));
+    await Promise.all(
+      this.targets().map((target) => this.exchangeWith(target)),
+    );
   }
 
   /** Asks every seed and declared side, for a process that starts. */
   async join(): Promise<void> {
     const addresses = this.seedAddresses();
     await Promise.all(
-      addresses.map((peerAddress) => this.talkTo({ peerAddress })),
+      addresses.map((peerAddress) => this.exchangeWith({ peerAddress })),
     );
     const first = this.options.membership.reachable()[0];
     if (first !== undefined) await this.pullMembers(first.peerAddress);
   }
 
   /** Passes news on at once, outside the usual pace. */
-  async spread(): Promise<void> {
-    if (this.isSpreading) return;
-    this.isSpreading = true;
-    await Promise.all(this.targets().map((target) => this.talkTo(target)));
-    this.isSpreading = false;
+  async propagate(): Promise<void> {
+    if (this.isPropagating) return;
+    this.isPropagating = true;
+    await Promise.all(
+      this.targets().map((target) => this.exchangeWith(target)),
+    );
+    this.isPropagating = false;
   }
 
   exchange(digest: Digest): Digest {
-    this.absorb(digest);
+    this.mergeRumours(digest);
     if (digest.configNumber > this.options.keeper.number) {
       void this.pullConfig(digest.peerAddress);
     }
@@ -90,9 +94,11 @@
     if (state === undefined || state.head.number <= haveNumber) {
       return { number: 0, parts: {}, bodiesGzip: Buffer.alloc(0) };
     }
-    const held = new Set(Object.values(haveParts));
+    const peerFingerprints = new Set(Object.values(haveParts));
     const bodies = Object.fromEntries(
-      Object.entries(state.bodies).filter(([print]) => !held.has(print)),
+      Object.entries(state.bodies).filter(
+        ([partFingerprint]) => !peerFingerprints.has(partFingerprint),
+      ),
     );
     const { number, parts } = state.head;
     return { number, parts, bodiesGzip: packBodies(bodies) };
@@ -111,7 +117,7 @@
       const bodies = unpackBodies(bodiesGzip);
       keeper.adopt({ head: { number, parts }, bodies });
     } catch (err) {
-      this.note("configuration not fetched", err);
+      this.logFailure("configuration not fetched", err);
     }
   }
 
@@ -119,9 +125,9 @@
     const { membership, link, now } = this.options;
     try {
       const { members } = await link.fetchMembers(address);
-      membership.merge(restoreAll(members), now());
+      membership.merge(parseMembers(members), now());
     } catch (err) {
-      this.note("members not fetched", err);
+      this.logFailure("members not fetched", err);
     }
   }
 
@@ -140,37 +146,38 @@
     const members = membership.pickPeers(fanout, rng);
     // Parted halves of a fleet hold each other for gone and would never talk
     // again: a declared address is asked now and then all the same.
-    const isEnough = members.length >= fanout && rng() >= SEED_PART;
-    if (isEnough) return members;
+    const hasEnoughTargets =
+      members.length >= fanout && rng() >= SEED_PROBABILITY;
+    if (hasEnoughTargets) return members;
     const seeds = this.seedAddresses();
     const seed = seeds[Math.floor(rng() * seeds.length)];
     return seed === undefined ? members : [...members, { peerAddress: seed }];
   }
 
-  private async talkTo(target: {
+  private async exchangeWith(target: {
     id?: string;
     peerAddress: string;
   }): Promise<void> {
     const { link, membership, keeper, now } = this.options;
     try {
       const reply = await link.exchange(target.peerAddress, this.digest());
-      this.absorb(reply);
-      await this.tellDoubt(reply.from, target.peerAddress);
+      this.mergeRumours(reply);
+      await this.notifyIfDoubted(reply.from, target.peerAddress);
       if (reply.configNumber > keeper.number) {
         await this.pullConfig(target.peerAddress);
       }
-      await this.compare(reply, target.peerAddress);
+      await this.compareMembers(reply, target.peerAddress);
     } catch (err) {
       if (target.id !== undefined) membership.markSuspect(target.id, now());
-      this.note("peer silent", err);
+      this.logFailure("peer silent", err);
     }
   }
 
   /** A peer that is held for gone but answers is told so, and refutes it. */
-  private async tellDoubt(id: string, address: string): Promise<void> {
+  private async notifyIfDoubted(id: string, address: string): Promise<void> {
     if (!this.isDoubted(id)) return;
     const { link } = this.options;
-    this.absorb(await link.exchange(address, this.digestFor(id)));
+    this.mergeRumours(await link.exchange(address, this.digestFor(id)));
   }
 
   private isDoubted(id: string): boolean {
@@ -179,20 +186,20 @@
   }
 
   /** Rumours can be missed; a hash that keeps differing fetches all. */
-  private async compare(reply: Digest, address: string): Promise<void> {
+  private async compareMembers(reply: Digest, address: string): Promise<void> {
     if (reply.membersHash === this.options.membership.hash) {
-      this.differences = 0;
+      this.hashMismatches = 0;
       return;
     }
-    this.differences += 1;
-    if (this.differences < DIFFERENCES_TO_FETCH) return;
-    this.differences = 0;
+    this.hashMismatches += 1;
+    if (this.hashMismatches < MAX_HASH_MISMATCHES) return;
+    this.hashMismatches = 0;
     await this.pullMembers(address);
   }
 
-  private absorb(digest: Digest): void {
+  private mergeRumours(digest: Digest): void {
     const { membership, now } = this.options;
-    membership.merge(restoreAll(digest.rumours), now());
+    membership.merge(parseMembers(digest.rumours), now());
   }
 
   private digest(): Digest {
@@ -214,10 +221,10 @@
     return { ...digest, rumours: [...digest.rumours, known] };
   }
 
-  private note(message: string, err: unknown): void {
+  private logFailure(message: string, err: unknown): void {
     this.options.log.debug(message, { cause: errText(err) });
   }
 }
 
-const restoreAll = (raw: Parameters<typeof parseMember>[0][]): Member[] =>
+const parseMembers = (raw: Parameters<typeof parseMember>[0][]): Member[] =>
   raw.map(parseMember).filter((item) => item !== undefined);
--- a/src/peers/peerLink.ts
+++ b/src/peers/peerLink.ts
@@ -36,7 +36,7 @@
 import { SnowgateError } from "../shared/errors.js";
 import { isSameSecret } from "../shared/utils.js";
 
-const CALL_MS = 1000;
+const CALL_TIMEOUT_MS = 1000;
 const MAX_CLIENTS = 64;
 
 /** What a process answers to its peers. */
@@ -52,7 +52,7 @@
   report(): ReportReply;
 }
 
-type Answer<Req, Res> = (request: Req) => Res;
+type Handler<Req, Res> = (request: Req) => Res;
 
 /** Serves peers; resolves with the address in use. */
 export class PeerServer {
@@ -62,39 +62,39 @@
 
   constructor(private readonly secret: string) {
     this.server.addService(PeerService, {
-      exchange: this.guarded<Digest, Digest>(
+      exchange: this.authenticated<Digest, Digest>(
         () => this.peer && ((digest) => this.peer!.exchange(digest)),
       ),
-      fetchConfig: this.guarded<FetchConfigRequest, FetchConfigReply>(
+      fetchConfig: this.authenticated<FetchConfigRequest, FetchConfigReply>(
         () => this.peer && ((request) => this.peer!.fetchConfig(request)),
       ),
-      fetchMembers: this.guarded<FetchMembersRequest, FetchMembersReply>(
+      fetchMembers: this.authenticated<FetchMembersRequest, FetchMembersReply>(
         () => this.peer && (() => this.peer!.fetchMembers()),
       ),
     });
     this.server.addService(SideService, {
-      nudge: this.guarded<NudgeRequest, NudgeReply>(
+      nudge: this.authenticated<NudgeRequest, NudgeReply>(
         () => this.side && ((request) => this.side!.nudge(request)),
       ),
-      report: this.guarded<ReportRequest, ReportReply>(
+      report: this.authenticated<ReportRequest, ReportReply>(
         () => this.side && (() => this.side!.report()),
       ),
     });
   }
 
   /** Answers calls from now on; before, callers are told to come back. */
-  answer(peer: PeerHandlers, side?: SideHandlers): void {
+  setHandlers(peer: PeerHandlers, side?: SideHandlers): void {
     this.peer = peer;
     this.side = side;
   }
 
-  private guarded<Req, Res>(find: () => Answer<Req, Res> | undefined) {
+  private authenticated<Req, Res>(find: () => Handler<Req, Res> | undefined) {
     return (
       call: ServerUnaryCall<Req, Res>,
       callback: sendUnaryData<Res>,
     ): void => {
-      const [given] = call.metadata.get(HEADERS.auth);
-      if (!isSameSecret(String(given ?? ""), this.secret)) {
+      const [callerSecret] = call.metadata.get(HEADERS.auth);
+      if (!isSameSecret(String(callerSecret ?? ""), this.secret)) {
         const details = "not a process of this fleet";
         return callback({ code: status.UNAUTHENTICATED, details });
       }
@@ -129,26 +129,30 @@
   callback: (err: ServiceError | null, reply: Res) => void,
 ) => unknown;
 
-const OPTIONS = {
+const CHANNEL_OPTIONS = {
   "grpc.initial_reconnect_backoff_ms": 200,
   "grpc.max_reconnect_backoff_ms": 2000,
 } as const;
 
 /** The open channel to an address, or a new one. */
 const clientFor = <T extends object>(
-  open: LRUCache<string, T>,
+  clients: LRUCache<string, T>,
   address: string,
   Client: new (
     address: string,
     credentials: ChannelCredentials,
-    options: typeof OPTIONS,
+    options: typeof CHANNEL_OPTIONS,
   ) => T,
 ): T => {
-  const known = open.get(address);
-  if (known !== undefined) return known;
-  const fresh = new Client(address, credentials.createInsecure(), OPTIONS);
-  open.set(address, fresh);
-  return fresh;
+  const existing = clients.get(address);
+  if (existing !== undefined) return existing;
+  const created = new Client(
+    address,
+    credentials.createInsecure(),
+    CHANNEL_OPTIONS,
+  );
+  clients.set(address, created);
+  return created;
 };
 
 /** Calls to peers; channels are opened on use and bounded in number. */
@@ -228,7 +232,7 @@
 
   private call<Req, Res>(unary: Unary<Req, Res>, request: Req): Promise<Res> {
     return new Promise((resolve, reject) => {
-      const deadline = Date.now() + CALL_MS;
+      const deadline = Date.now() + CALL_TIMEOUT_MS;
       unary(request, this.metadata, { deadline }, (err, reply) => {
         if (err === null) return resolve(reply);
         reject(new SnowgateError(`peer call: ${err.details || err.message}`));
--- a/src/placement/leaseKeeper.ts
+++ b/src/placement/leaseKeeper.ts
@@ -13,7 +13,7 @@
   observeLease,
 } from "../control/leaseState.js";
 import type { LeaseState } from "../control/leaseState.js";
-import { ABSENT, fromPosition } from "../store/index.js";
+import { ABSENT, decodePosition } from "../store/index.js";
 import type { FeedItem, ObjectFeed } from "../store/index.js";
 import type { PrefillCost } from "../scheduling/index.js";
 import type { Log } from "../telemetry/index.js";
@@ -183,7 +183,7 @@
    * earlier era has used it, nor one hidden by a late write.
    */
   private get nextEpoch(): number {
-    const { era } = fromPosition(this.readAt);
+    const { era } = decodePosition(this.readAt);
     return Math.max(this.highestEpoch + 1, era > 0 ? this.readAt : 0);
   }
 
--- a/src/retry/retry.ts
+++ b/src/retry/retry.ts
@@ -1,7 +1,7 @@
 /**
  * Decides whether a failed attempt is retried, and updates the retry budget.
  */
-import type { Repeat } from "../config/index.js";
+import type { RepeatPolicy } from "../config/index.js";
 import { addTokens, takeTokens } from "../shared/tokenBucket.js";
 import type { TokenBucket } from "../shared/tokenBucket.js";
 import type { RequestFailure } from "../shared/errors.js";
@@ -30,7 +30,7 @@
 
 export interface RetryContext {
   failure: RequestFailure;
-  repeat: Repeat;
+  repeat: RepeatPolicy;
   attempts: number;
   deadlineAt: number;
   now: number;
--- a/src/settings/checkedYaml.ts
+++ b/src/settings/checkedYaml.ts
@@ -55,17 +55,17 @@
 ): T => {
   const lines = new LineCounter();
   const doc = parseDocument(text, { lineCounter: lines });
-  const broken = doc.errors[0];
-  if (broken !== undefined) {
-    const { line } = lines.linePos(broken.pos[0]);
-    const [what] = broken.message.split("\n");
+  const syntaxError = doc.errors[0];
+  if (syntaxError !== undefined) {
+    const { line } = lines.linePos(syntaxError.pos[0]);
+    const [what] = syntaxError.message.split("\n");
     throw new InvalidInputError(`${file}:${line}: not valid YAML: ${what}`);
   }
   const result = schema.safeParse(doc.toJS());
   if (result.success) return result.data;
-  const faults = result.error.issues.map((issue) => {
+  const problems = result.error.issues.map((issue) => {
     const { line, text: what } = describeIssue(doc, lines, issue);
     return `${file}:${line}: ${what}`;
   });
-  throw new InvalidInputError(faults.join("\n"));
+  throw new InvalidInputError(problems.join("\n"));
 };
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -8,7 +8,7 @@
 import { LOG_LEVELS } from "../telemetry/index.js";
 
 const ADDRESS = /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-f:]+\]):\d{1,5}$/i;
-const MIN_SECRET = 8;
+const MIN_SECRET_LENGTH = 8;
 
 const address = (what: string) =>
   z.string().regex(ADDRESS, "expected IP:port").describe(what);
@@ -51,7 +51,7 @@
     .strictObject({
       secret: z
         .string()
-        .min(MIN_SECRET)
+        .min(MIN_SECRET_LENGTH)
         .describe("Shared secret of the processes of one fleet"),
       seeds: z
         .array(address("IP:port"))
@@ -95,7 +95,7 @@
     .describe("How an upstream is chosen; the others are baselines"),
   operatorToken: z
     .string()
-    .min(MIN_SECRET)
+    .min(MIN_SECRET_LENGTH)
     .optional()
     .describe("Token of operators; without it every order is refused"),
   lameDuckMs: count(
--- a/src/side/dataServer.ts
+++ b/src/side/dataServer.ts
@@ -8,7 +8,7 @@
 import http from "node:http";
 
 import type { Admission } from "../admission/index.js";
-import { passedHeaders, readBody } from "../http/index.js";
+import { forwardedHeaders, readBody } from "../http/index.js";
 import type { LoadReport } from "../routing/index.js";
 import { HEADERS } from "../shared/constants.js";
 import type { RequestFailure } from "../shared/errors.js";
@@ -245,7 +245,7 @@
   private relay(request: SideRequest, upstream: http.IncomingMessage): void {
     const { res } = request;
     res.writeHead(upstream.statusCode ?? 0, {
-      ...passedHeaders(upstream.headers, () => false),
+      ...forwardedHeaders(upstream.headers, () => false),
       ...(upstream.headers["content-length"] === undefined
         ? {}
         : { "content-length": upstream.headers["content-length"] }),
--- a/src/side/sideDaemon.ts
+++ b/src/side/sideDaemon.ts
@@ -7,7 +7,7 @@
 import {
   createGossip,
   createMembership,
-  learnConfiguration,
+  loadInitialConfig,
   startCommonTasks,
 } from "../daemon/runtime.js";
 import type { Runtime } from "../daemon/runtime.js";
@@ -99,7 +99,7 @@
   const { id } = settings.upstream;
   const membership = createMembership(runtime, id, "side", peers);
   const gossip = createGossip(runtime, membership);
-  peerServer.answer(gossip, {
+  peerServer.setHandlers(gossip, {
     nudge: () => {
       void executor.reconcile();
       return { accepted: !executor.superseded, reason: "" };
@@ -113,12 +113,12 @@
   });
   gate.onRole(() => {
     membership.announceRole(gate.role);
-    void gossip.spread();
+    void gossip.propagate();
   });
   membership.onChange((member) => {
     if (member.id === id && member.state === "leaving") gate.shut("leaving");
   });
-  await learnConfiguration(runtime, gossip);
+  await loadInitialConfig(runtime, gossip);
   startCommonTasks(runtime, membership, gossip);
   await executor.reconcile();
   supervisor.every("orders", settings.orderPollMs, () => executor.reconcile());
@@ -128,7 +128,7 @@
     stop: async () => {
       gate.shut("leaving");
       membership.announce("leaving");
-      await gossip.spread();
+      await gossip.propagate();
       await gate.idle();
       data.close();
       supervisor.stop();
--- a/src/side/upstreamCall.ts
+++ b/src/side/upstreamCall.ts
@@ -1,7 +1,7 @@
 /** One call from a side to its upstream. */
 import http from "node:http";
 
-import { passedHeaders } from "../http/index.js";
+import { forwardedHeaders } from "../http/index.js";
 import { HEADERS } from "../shared/constants.js";
 import type { RequestFailure } from "../shared/errors.js";
 import { errText } from "../shared/utils.js";
@@ -42,7 +42,7 @@
       method: req.method ?? "GET",
       agent,
       headers: {
-        ...passedHeaders(req.headers, (name) => FOR_UPSTREAM.includes(name)),
+        ...forwardedHeaders(req.headers, (name) => FOR_UPSTREAM.includes(name)),
         ...(body.length > 0 ? { "content-length": body.length } : {}),
       },
     });
--- a/src/store/budgetedStore.ts
+++ b/src/store/budgetedStore.ts
@@ -31,12 +31,12 @@
   }
 
   get<T>(kind: string, name: string): Promise<StoredObject<T> | undefined> {
-    this.spendOrThrow();
+    this.takeOrThrow();
     return this.inner.get<T>(kind, name);
   }
 
   list<T>(kind: string): Promise<StoredObject<T>[]> {
-    this.spendOrThrow();
+    this.takeOrThrow();
     return this.inner.list<T>(kind);
   }
 
@@ -47,7 +47,7 @@
     expected: number,
     writeId: string,
   ): Promise<WriteResult<T>> {
-    if (!this.spend()) return { kind: "refused", why: OVER_BUDGET };
+    if (!this.tryTake()) return { kind: "refused", why: OVER_BUDGET };
     return this.inner.put(kind, name, value, expected, writeId);
   }
 
@@ -56,18 +56,18 @@
     revision: number,
     waitMs: number,
   ): Promise<WatchReply> {
-    this.spendOrThrow();
+    this.takeOrThrow();
     return this.inner.watch(kinds, revision, waitMs);
   }
 
-  private spend(): boolean {
+  private tryTake(): boolean {
     const { bucket, taken } = takeTokens(this.bucket, 1, this.now());
     this.bucket = bucket;
     if (taken) this.calls += 1;
     return taken;
   }
 
-  private spendOrThrow(): void {
-    if (!this.spend()) throw new StoreError(OVER_BUDGET);
+  private takeOrThrow(): void {
+    if (!this.tryTake()) throw new StoreError(OVER_BUDGET);
   }
 }
--- a/src/store/settledWrite.ts
+++ b/src/store/confirmedWrite.ts
@@ -7,10 +7,10 @@
 import type { ObjectStore, StoredObject, WriteResult } from "./types.js";
 import { ABSENT } from "./types.js";
 
-const ATTEMPTS = 4;
+const MAX_ATTEMPTS = 4;
 
 /** As `put`, but `unknown` is left only when the store stays silent. */
-export const settledWrite = async <T>(
+export const confirmedWrite = async <T>(
   store: ObjectStore,
   kind: string,
   name: string,
@@ -18,18 +18,18 @@
   expected: number,
   writeId: string,
 ): Promise<WriteResult<T>> => {
-  let isUnsure = false;
+  let isUncertain = false;
   let why = "";
-  for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     const result = await store.put(kind, name, value, expected, writeId);
     if (result.kind === "written") return result;
-    if (result.kind === "refused" && !isUnsure) return result;
+    if (result.kind === "refused" && !isUncertain) return result;
     if (result.kind === "conflict") {
       const { current } = result;
       if (current?.writeId !== writeId) return result;
       return { kind: "written", version: current.version };
     }
-    isUnsure = true;
+    isUncertain = true;
     why = result.why;
     const found = await readBack<T>(store, kind, name, expected, writeId);
     if (found !== undefined) return found;
--- a/src/store/eraLog.ts
+++ b/src/store/eraLogger.ts
@@ -1,15 +1,15 @@
 /** Tells operators of each change of the store's era, once. */
 import type { Log, Metrics } from "../telemetry/index.js";
-import type { EraNews } from "./position.js";
+import type { EraUpdate } from "./position.js";
 
 /** Of an era that can't be read, in a log line. */
 const MAX_LOGGED_CHARS = 80;
 
-export const newEraLog = (
+export const newEraLogger = (
   log: Log,
   metrics: Metrics,
-): ((news: EraNews) => void) => {
-  let unread: string | undefined;
+): ((news: EraUpdate) => void) => {
+  let lastUnreadable: string | undefined;
   return (news) => {
     switch (news.kind) {
       case "same":
@@ -25,8 +25,8 @@
       case "past":
         return metrics.count("store_answer_past", {});
       case "unreadable": {
-        if (news.text === unread) return;
-        unread = news.text;
+        if (news.text === lastUnreadable) return;
+        lastUnreadable = news.text;
         const said = news.text.slice(0, MAX_LOGGED_CHARS);
         return log.warn("era of the store can't be read", { said });
       }
--- a/src/store/feed.ts
+++ b/src/store/feed.ts
@@ -41,7 +41,7 @@
   | { kind: "went-back" };
 
 /** What a conditional write of an object came to. */
-export type ConditionalWrite =
+export type ConditionalWriteResult =
   | { kind: "written"; item: FeedItem }
   | { kind: "conflict"; current: FeedItem | undefined }
   /** Refused before any effect. */
@@ -65,14 +65,14 @@
     name: string,
     value: unknown,
     expected: number,
-  ): Promise<ConditionalWrite>;
+  ): Promise<ConditionalWriteResult>;
   /** Writes what lies beside an object's value, which stays as it is. */
   writeStatus(
     kind: string,
     name: string,
     status: unknown,
     expected: number,
-  ): Promise<ConditionalWrite>;
+  ): Promise<ConditionalWriteResult>;
 }
 
 /**
@@ -81,30 +81,30 @@
  */
 const CATCH_UP_MARGIN_MS = 1500;
 /** Shortest wait of one call for a change, ms. */
-const LEAST_WAIT_MS = 500;
+const MIN_WAIT_MS = 500;
 
 /**
  * How long one call may wait for a change, ms, so that a process hears again
  * within the catch-up time after a cut has healed. Longer waits are cheaper.
  */
 export const watchWaitMs = (catchUpMs: number): number =>
-  Math.max(LEAST_WAIT_MS, catchUpMs - CATCH_UP_MARGIN_MS);
+  Math.max(MIN_WAIT_MS, catchUpMs - CATCH_UP_MARGIN_MS);
 
 /**
  * Pause between two looks whether it is active, ms: a standby that has become
  * the holder can place once it has read the list.
  */
-const IDLE_MS = 100;
+const IDLE_POLL_MS = 100;
 /**
  * Pause after changes before the next call, ms: what changes close together
  * comes in one answer. While 39 replicas register, each of 100 processes else
  * makes a call for each of them. Bounds on news are two seconds and more.
  */
-const GATHER_MS = 300;
-const FIRST_BACKOFF_MS = 80;
-const LONGEST_BACKOFF_MS = 700;
+const COALESCE_MS = 300;
+const MIN_BACKOFF_MS = 80;
+const MAX_BACKOFF_MS = 700;
 /** The store counts as in trouble for this long after a failed call, ms. */
-const TROUBLE_MS = 3000;
+const INSTABILITY_MS = 3000;
 
 /** When an answer came, and what it was for; instants are ms. */
 export interface FeedAnswer {
@@ -148,7 +148,7 @@
   private isIdle = false;
   /** The last call brought changes. */
   private hasChanged = false;
-  private lastTroubleAt = -Infinity;
+  private lastFailureAt = -Infinity;
   /** When the store last answered, ms. */
   lastAnswerAt = -Infinity;
 
@@ -184,7 +184,7 @@
       this.lastAnswerAt = now();
     } catch (err) {
       this.failures += 1;
-      this.lastTroubleAt = now();
+      this.lastFailureAt = now();
       if (this.failures === 1) {
         log.warn("store lost", { kind, why: errText(err) });
       }
@@ -193,7 +193,7 @@
 
   private get inTrouble(): boolean {
     const { now } = this.options;
-    return now() - this.lastTroubleAt < TROUBLE_MS;
+    return now() - this.lastFailureAt < INSTABILITY_MS;
   }
 
   private async readList(): Promise<void> {
@@ -227,7 +227,7 @@
       log.warn("store went back: the list is read again", { kind });
       this.revision = undefined;
       // What its copy lacks may be written again within two seconds.
-      this.lastTroubleAt = now();
+      this.lastFailureAt = now();
       return;
     }
     for (const change of reply.changes) {
@@ -242,12 +242,12 @@
   }
 
   private pauseMs(): number {
-    if (this.isIdle) return IDLE_MS;
-    if (this.failures === 0) return this.hasChanged ? GATHER_MS : 0;
-    const longest = Math.min(
-      LONGEST_BACKOFF_MS,
-      FIRST_BACKOFF_MS * 2 ** (this.failures - 1),
+    if (this.isIdle) return IDLE_POLL_MS;
+    if (this.failures === 0) return this.hasChanged ? COALESCE_MS : 0;
+    const backoffMs = Math.min(
+      MAX_BACKOFF_MS,
+      MIN_BACKOFF_MS * 2 ** (this.failures - 1),
     );
-    return longest * (0.5 + this.options.rng() / 2);
+    return backoffMs * (0.5 + this.options.rng() / 2);
   }
 }
--- a/src/store/httpObjectStore.ts
+++ b/src/store/httpObjectStore.ts
@@ -1,6 +1,6 @@
 /** The object API over HTTP; see docs/PROTOCOLS.md for its shape. */
 import { exchange, ExchangeError } from "../http/index.js";
-import type { JsonAnswer } from "../http/index.js";
+import type { JsonResponse } from "../http/index.js";
 import { StoreError } from "../shared/errors.js";
 import { errText } from "../shared/utils.js";
 import { ABSENT } from "./types.js";
@@ -17,7 +17,7 @@
 const HTTP_TOO_MANY = 429;
 const HTTP_UNAVAILABLE = 503;
 /** Beyond the server's own wait, before a watch counts as lost, ms. */
-const WATCH_GRACE_MS = 1000;
+const WATCH_TIMEOUT_MARGIN_MS = 1000;
 const WRITE_ID_HEADER = "x-write-id";
 
 export class HttpObjectStore implements ObjectStore {
@@ -49,7 +49,7 @@
     const query = `kinds=${kinds.join(",")}&since=${revision}&waitMs=${waitMs}`;
     const answer = await this.read(
       `/v1/watch?${query}`,
-      waitMs + WATCH_GRACE_MS,
+      waitMs + WATCH_TIMEOUT_MARGIN_MS,
     );
     return JSON.parse(answer.text) as WatchReply;
   }
@@ -81,7 +81,7 @@
     }
   }
 
-  private writeResult<T>(answer: JsonAnswer): WriteResult<T> {
+  private writeResult<T>(answer: JsonResponse): WriteResult<T> {
     switch (answer.status) {
       case HTTP_OK: {
         const { version } = JSON.parse(answer.text) as { version: number };
@@ -106,8 +106,8 @@
     return `/v1/objects/${names.join("/")}`;
   }
 
-  private async read(path: string, timeoutMs: number): Promise<JsonAnswer> {
-    let answer: JsonAnswer;
+  private async read(path: string, timeoutMs: number): Promise<JsonResponse> {
+    let answer: JsonResponse;
     try {
       const url = this.url + path;
       answer = await exchange({ method: "GET", url, timeoutMs });
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,6 +1,6 @@
 export { BudgetedStore } from "./budgetedStore.js";
 export { HttpObjectStore } from "./httpObjectStore.js";
-export { settledWrite } from "./settledWrite.js";
+export { confirmedWrite } from "./confirmedWrite.js";
 export { ABSENT } from "./types.js";
 export type {
   ObjectStore,
@@ -9,12 +9,12 @@
   WatchReply,
   WriteResult,
 } from "./types.js";
-export { newEraLog } from "./eraLog.js";
-export { fromPosition, StoreEra, toPosition } from "./position.js";
-export type { EraNews, StorePosition } from "./position.js";
+export { newEraLogger } from "./eraLogger.js";
+export { decodePosition, StoreEra, encodePosition } from "./position.js";
+export type { EraUpdate, StorePosition } from "./position.js";
 export { FeedWatch, watchWaitMs } from "./feed.js";
 export type {
-  ConditionalWrite,
+  ConditionalWriteResult,
   FeedChange,
   FeedAnswer,
   FeedChanges,
--- a/src/store/position.ts
+++ b/src/store/position.ts
@@ -6,8 +6,8 @@
  */
 
 /** Revisions of one era: a thousand a second for 34 years. */
-const REVISIONS = 2 ** 40;
-const MOST_ERA = 2 ** 12;
+const REVISIONS_PER_ERA = 2 ** 40;
+const MAX_ERA = 2 ** 12;
 
 export interface StorePosition {
   era: number;
@@ -15,16 +15,17 @@
 }
 
 /** Throws nothing: what can't be held counts as the last that can. */
-export const toPosition = ({ era, revision }: StorePosition): number =>
-  Math.min(era, MOST_ERA) * REVISIONS + Math.min(revision, REVISIONS - 1);
+export const encodePosition = ({ era, revision }: StorePosition): number =>
+  Math.min(era, MAX_ERA) * REVISIONS_PER_ERA +
+  Math.min(revision, REVISIONS_PER_ERA - 1);
 
-export const fromPosition = (position: number): StorePosition => ({
-  era: Math.floor(position / REVISIONS),
-  revision: position % REVISIONS,
+export const decodePosition = (position: number): StorePosition => ({
+  era: Math.floor(position / REVISIONS_PER_ERA),
+  revision: position % REVISIONS_PER_ERA,
 });
 
 /** What an answer's era says. */
-export type EraNews =
+export type EraUpdate =
   | { kind: "same" }
   | { kind: "first"; era: number }
   /** The store has come back from a copy since the era that was known. */
@@ -34,26 +35,26 @@
   /** No era can be read; the last good one stays. */
   | { kind: "unreadable"; text: string };
 
-const WHOLE = /^\d{1,4}$/;
+const ERA_PATTERN = /^\d{1,4}$/;
 
 /** The newest era that any answer of the store has named. */
 export class StoreEra {
-  private known: number | undefined;
+  private highest: number | undefined;
 
   /** 0 while none was named. */
   get current(): number {
-    return this.known ?? 0;
+    return this.highest ?? 0;
   }
 
   /** `text`: as the answer names it; undefined: it names none. */
-  note(text: string | undefined): EraNews {
+  observe(text: string | undefined): EraUpdate {
     if (text === undefined) return { kind: "same" };
-    if (!WHOLE.test(text)) return { kind: "unreadable", text };
+    if (!ERA_PATTERN.test(text)) return { kind: "unreadable", text };
     const era = Number(text);
-    const from = this.known;
+    const from = this.highest;
     if (era === from) return { kind: "same" };
     if (from !== undefined && era < from) return { kind: "past" };
-    this.known = era;
+    this.highest = era;
     if (from === undefined) return { kind: "first", era };
     return { kind: "risen", from, to: era };
   }
--- a/src/telemetry/lineWriter.ts
+++ b/src/telemetry/lineWriter.ts
@@ -8,16 +8,16 @@
 /** Lines are written together at the latest after this, ms. */
 const FLUSH_MS = 50;
 /** Most bytes held for a slow reader. */
-const MAX_HELD_BYTES = 512 * 1024;
+const MAX_PENDING_BYTES = 512 * 1024;
 
 export class LineWriter {
-  private held: string[] = [];
-  private heldBytes = 0;
+  private pending: string[] = [];
+  private pendingBytes = 0;
   private isWriting = false;
   private timer: NodeJS.Timeout | undefined;
   /** Lines dropped since the reader last kept up. */
   private dropped = 0;
-  private droppedEver = 0;
+  private droppedTotal = 0;
 
   constructor(
     private readonly fd: number,
@@ -26,17 +26,17 @@
 
   /** Lines dropped since the start. */
   get droppedLines(): number {
-    return this.droppedEver;
+    return this.droppedTotal;
   }
 
   line(text: string): void {
-    if (this.heldBytes + text.length > MAX_HELD_BYTES) {
+    if (this.pendingBytes + text.length > MAX_PENDING_BYTES) {
       this.dropped += 1;
-      this.droppedEver += 1;
+      this.droppedTotal += 1;
       return;
     }
-    this.held.push(text);
-    this.heldBytes += text.length;
+    this.pending.push(text);
+    this.pendingBytes += text.length;
     this.timer ??= setTimeout(() => this.flush(), this.flushMs).unref();
   }
 
@@ -44,15 +44,17 @@
   flush(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
-    if (this.isWriting || this.held.length === 0) return;
+    if (this.isWriting || this.pending.length === 0) return;
     if (this.dropped > 0) {
       const count = this.dropped;
-      this.held.push(JSON.stringify({ message: "log lines dropped", count }));
+      this.pending.push(
+        JSON.stringify({ message: "log lines dropped", count }),
+      );
       this.dropped = 0;
     }
-    const bytes = Buffer.from(`${this.held.join("\n")}\n`);
-    this.held = [];
-    this.heldBytes = 0;
+    const bytes = Buffer.from(`${this.pending.join("\n")}\n`);
+    this.pending = [];
+    this.pendingBytes = 0;
     this.isWriting = true;
     this.writeAll(bytes, () => {
       this.isWriting = false;
--- a/src/telemetry/log.ts
+++ b/src/telemetry/log.ts
@@ -1,7 +1,7 @@
 /** JSON-line logs through consola. */
 import { createConsola } from "consola";
 
-import { LineBudget } from "./lineBudget.js";
+import { LogRateLimiter } from "./logRateLimiter.js";
 import type { LineWriter } from "./lineWriter.js";
 
 /** Fields of a log line besides its message. */
@@ -35,13 +35,13 @@
 }
 
 /** Kind of a line for the budget: what happened, and how it ended. */
-const kindOf = (message: string, fields: LogFields | undefined): string =>
+const lineKind = (message: string, fields: LogFields | undefined): string =>
   `${message} ${fields?.outcome ?? fields?.phase ?? ""}`.trim();
 
 /** A logger that writes one JSON object a line, bounded by kind. */
 export const createLog = (options: LogOptions): Log => {
   const { level, process, writer, now } = options;
-  const budget = new LineBudget();
+  const limiter = new LogRateLimiter();
   const consola = createConsola({
     level: CONSOLA_LEVEL[level],
     throttle: 0,
@@ -52,7 +52,7 @@
           const time = entry.date.toISOString();
           const head = { time, level: entry.type, process };
           writer.line(JSON.stringify({ ...head, message, ...fields }));
-          for (const { kind, count } of budget.report(now())) {
+          for (const { kind, count } of limiter.report(now())) {
             const note = { ...head, message: "lines omitted", kind, count };
             writer.line(JSON.stringify(note));
           }
@@ -64,7 +64,8 @@
     (write: typeof consola.info, rank: number) =>
     (message: string, fields?: LogFields): void => {
       if (rank > CONSOLA_LEVEL[level]) return;
-      if (budget.take(kindOf(message, fields), now())) write(message, fields);
+      if (limiter.take(lineKind(message, fields), now()))
+        write(message, fields);
     };
   return {
     info: bounded(consola.info, CONSOLA_LEVEL.info),
--- a/src/telemetry/lineBudget.ts
+++ b/src/telemetry/logRateLimiter.ts
@@ -12,7 +12,7 @@
 /** Kinds that are told apart; all further ones share a budget. */
 const MAX_KINDS = 64;
 const OTHER_KIND = "other";
-const REPORT_MS = 1000;
+const REPORT_INTERVAL_MS = 1000;
 
 /** Lines left out of one kind since the last report. */
 export interface Omission {
@@ -20,7 +20,7 @@
   count: number;
 }
 
-export class LineBudget {
+export class LogRateLimiter {
   private readonly buckets = new Map<string, TokenBucket>();
   private readonly omitted = new Map<string, number>();
   private reportAt = -Infinity;
@@ -39,7 +39,8 @@
 
   /** What was left out, at most once a second. */
   report(now: number): Omission[] {
-    if (this.omitted.size === 0 || now - this.reportAt < REPORT_MS) return [];
+    if (this.omitted.size === 0 || now - this.reportAt < REPORT_INTERVAL_MS)
+      return [];
     this.reportAt = now;
     const omissions = [...this.omitted].map(([kind, count]) => ({
       kind,
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -11,10 +11,10 @@
 
 const MAX_WORKSPACES = 64;
 /** Further workspaces that are counted, to find the busiest. */
-const MAX_WAITING = 1024;
-const ROOM_EVERY = 16;
+const MAX_UNNAMED_WORKSPACES = 1024;
+const EVICTION_CHECK_INTERVAL = 16;
 const OTHER_WORKSPACE = "other";
-const HIGHEST_MS = 600_000;
+const MAX_LATENCY_MS = 600_000;
 const PERCENTILES = [50, 95, 99] as const;
 
 /** Latency of one class or workspace, in ms. */
@@ -40,7 +40,7 @@
     bitBucketSize: 32,
     autoResize: true,
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MS,
+    highestTrackableValue: MAX_LATENCY_MS,
     numberOfSignificantValueDigits: 2,
   });
 
@@ -59,8 +59,8 @@
   private readonly other = newHistogram();
   private readonly byWorkspace = new Map<string, Histogram>();
   /** Requests of workspaces without a histogram of their own. */
-  private readonly waiting = new LRUCache<string, number>({
-    max: MAX_WAITING,
+  private readonly unnamedCounts = new LRUCache<string, number>({
+    max: MAX_UNNAMED_WORKSPACES,
   });
 
   constructor(address: { host: string; port: number } | undefined) {
@@ -114,7 +114,10 @@
   private workspaceHistogram(name: string): Histogram {
     const known = this.byWorkspace.get(name);
     if (known !== undefined) return known;
-    if (this.byWorkspace.size >= MAX_WORKSPACES && !this.makeRoom(name)) {
+    if (
+      this.byWorkspace.size >= MAX_WORKSPACES &&
+      !this.tryReplaceLeastBusy(name)
+    ) {
       return this.other;
     }
     const fresh = newHistogram();
@@ -123,11 +126,11 @@
   }
 
   /** A workspace that is busier than the least busy one takes its place. */
-  private makeRoom(name: string): boolean {
-    const count = (this.waiting.get(name) ?? 0) + 1;
-    this.waiting.set(name, count);
+  private tryReplaceLeastBusy(name: string): boolean {
+    const count = (this.unnamedCounts.get(name) ?? 0) + 1;
+    this.unnamedCounts.set(name, count);
     // Looking for the least busy one costs: only now and then.
-    if (count % ROOM_EVERY !== 0) return false;
+    if (count % EVICTION_CHECK_INTERVAL !== 0) return false;
     const named = [...this.byWorkspace];
     const least = named.reduce((a, b) =>
       b[1].totalCount < a[1].totalCount ? b : a,
@@ -135,8 +138,8 @@
     if (least[1].totalCount >= count) return false;
     this.other.add(least[1]);
     this.byWorkspace.delete(least[0]);
-    this.waiting.set(least[0], least[1].totalCount);
-    this.waiting.delete(name);
+    this.unnamedCounts.set(least[0], least[1].totalCount);
+    this.unnamedCounts.delete(name);
     return true;
   }
 }
--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -11,7 +11,7 @@
 import { drawService, RouteTable } from "../../src/gateway/routeTable.js";
 import { GatewayState } from "../../src/gateway/gatewayState.js";
 import type { GatewayConfig, Replica, Route } from "../../src/gateway/index.js";
-import { LineBudget } from "../../src/telemetry/lineBudget.js";
+import { LogRateLimiter } from "../../src/telemetry/logRateLimiter.js";
 import { LineWriter } from "../../src/telemetry/lineWriter.js";
 
 const route = (name: string, pathPrefix: string, weights = [1]): Route => ({
@@ -284,7 +284,7 @@
 
 describe("log", () => {
   it("leaves lines of one kind out beyond the budget, and counts them", () => {
-    const budget = new LineBudget();
+    const budget = new LogRateLimiter();
     let written = 0;
     for (let at = 0; at < 1000; at += 1) {
       if (budget.take("refused", 0)) written += 1;
--- a/tests/objectStore.test.ts
+++ b/tests/objectStore.test.ts
@@ -4,7 +4,7 @@
   ABSENT,
   BudgetedStore,
   HttpObjectStore,
-  settledWrite,
+  confirmedWrite,
 } from "../src/store/index.js";
 import type { ObjectStore } from "../src/store/index.js";
 import { exchange } from "../src/http/index.js";
@@ -90,7 +90,7 @@
       const raw = await http().put("lost", "raw", {}, ABSENT, "x");
       expect(raw.kind).to.equal("unknown");
       await faults({ loseAnswers: 1 });
-      const result = await settledWrite(
+      const result = await confirmedWrite(
         http(),
         "lost",
         "settled",
@@ -103,7 +103,7 @@
 
     it("stays unknown while the store is silent", async () => {
       await faults({ silent: true });
-      const result = await settledWrite(http(), "lost", "s", {}, ABSENT, "z");
+      const result = await confirmedWrite(http(), "lost", "s", {}, ABSENT, "z");
       expect(result.kind).to.equal("unknown");
       await faults({ silent: false });
     });
--- a/tests/store/position.test.ts
+++ b/tests/store/position.test.ts
@@ -2,29 +2,29 @@
 import { expect } from "chai";
 
 import {
-  fromPosition,
-  newEraLog,
+  decodePosition,
+  newEraLogger,
   StoreEra,
-  toPosition,
+  encodePosition,
 } from "../../src/store/index.js";
 import { StatsdMetrics } from "../../src/telemetry/index.js";
 
 describe("a position in the store's history", () => {
   it("is the revision where no era is named", () => {
-    expect(toPosition({ era: 0, revision: 77 })).to.equal(77);
+    expect(encodePosition({ era: 0, revision: 77 })).to.equal(77);
   });
 
   it("is compared by era first, and read back as it was", () => {
     const before = { era: 1, revision: 900_000_000_000 };
     const after = { era: 2, revision: 1 };
-    expect(toPosition(after)).to.be.greaterThan(toPosition(before));
+    expect(encodePosition(after)).to.be.greaterThan(encodePosition(before));
     for (const position of [before, after]) {
-      expect(fromPosition(toPosition(position))).to.deep.equal(position);
+      expect(decodePosition(encodePosition(position))).to.deep.equal(position);
     }
   });
 
   it("stays a number that can be held", () => {
-    const last = toPosition({ era: 1e9, revision: 1e300 });
+    const last = encodePosition({ era: 1e9, revision: 1e300 });
     expect(Number.isSafeInteger(last)).to.equal(true);
   });
 });
@@ -32,19 +32,19 @@
 describe("the era of the store", () => {
   it("is the highest that an answer has named", () => {
     const era = new StoreEra();
-    expect(era.note("3")).to.deep.equal({ kind: "first", era: 3 });
-    expect(era.note("3").kind).to.equal("same");
-    expect(era.note("5")).to.deep.equal({ kind: "risen", from: 3, to: 5 });
-    expect(era.note("4").kind).to.equal("past");
+    expect(era.observe("3")).to.deep.equal({ kind: "first", era: 3 });
+    expect(era.observe("3").kind).to.equal("same");
+    expect(era.observe("5")).to.deep.equal({ kind: "risen", from: 3, to: 5 });
+    expect(era.observe("4").kind).to.equal("past");
     expect(era.current).to.equal(5);
   });
 
   for (const text of ["", "x", "-1", "1.5", "1e3", "9".repeat(30), "1, 2"]) {
     it(`stays the last good one at "${text.slice(0, 8)}"`, () => {
       const era = new StoreEra();
-      era.note("3");
-      expect(era.note(text)).to.deep.equal({ kind: "unreadable", text });
-      expect(era.note(undefined).kind).to.equal("same");
+      era.observe("3");
+      expect(era.observe(text)).to.deep.equal({ kind: "unreadable", text });
+      expect(era.observe(undefined).kind).to.equal("same");
       expect(era.current).to.equal(3);
     });
   }
@@ -53,10 +53,10 @@
     const lines: string[] = [];
     const line = (message: string) => void lines.push(message);
     const log = { info: line, warn: line, error: line, debug: line };
-    const onEra = newEraLog(log, new StatsdMetrics(undefined));
+    const onEra = newEraLogger(log, new StatsdMetrics(undefined));
     const era = new StoreEra();
     const said = ["1", "1", "2", "2", "1", "x", "x", undefined];
-    for (const text of said) onEra(era.note(text));
+    for (const text of said) onEra(era.observe(text));
     expect(lines).to.deep.equal([
       "era of the store",
       "the store has come back from a copy",
--- a/tests/workspaces/usage.test.ts
+++ b/tests/workspaces/usage.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 
 import type {
-  ConditionalWrite,
+  ConditionalWriteResult,
   FeedItem,
   ObjectFeed,
 } from "../../src/store/index.js";
@@ -42,7 +42,7 @@
     name: string,
     value: unknown,
     expected: number,
-  ): Promise<ConditionalWrite> {
+  ): Promise<ConditionalWriteResult> {
     if (this.isDown || this.next === "refused") {
       return { kind: "refused", why: "busy" };
     }
