--- a/src/config/applyConfig.ts
+++ b/src/config/applyConfig.ts
@@ -42,7 +42,8 @@
 /**
  * Replaces the configuration in force, `known`, by `config`. If the store has
  * an older number than this process, it has lost data, and nothing is written.
- * Throws `OrderError` then and if a write fails, `StoreError` if the read fails.
+ * Throws `OrderError` then and if a write fails; `StoreError` if the read
+ * fails.
  */
 export const applyConfig = async (
   store: ObjectStore,
--- a/src/http/headers.ts
+++ b/src/http/headers.ts
@@ -1,9 +1,9 @@
-/** Which headers a hop passes on. */
+/** Selects the headers that a proxy hop forwards. */
 import type http from "node:http";
 
 import { INTERNAL_HEADER_PREFIX } from "../shared/constants.js";
 
-/** Headers of one connection that are not passed on. */
+/** Hop-by-hop headers, which apply to one connection only. */
 const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
@@ -18,7 +18,7 @@
   "proxy-authenticate",
 ]);
 
-/** Header names of a hop are dropped, and internal ones where not wanted. */
+/** Drops hop-by-hop headers, and internal ones that `keepInternal` rejects. */
 export const forwardedHeaders = (
   headers: http.IncomingHttpHeaders,
   keepInternal: (name: string) => boolean,
--- a/src/http/request.ts
+++ b/src/http/request.ts
@@ -1,17 +1,17 @@
-/** One HTTP exchange with a small JSON body, by Node's `http`. */
+/** HTTP client for requests with small JSON bodies, on Node's `http`. */
 import http from "node:http";
 
-/** Reused connections of control traffic. */
+/** Connection pool for control traffic. */
 const agent = new http.Agent({ keepAlive: true, maxSockets: 64 });
 
-/** A whole answer. */
+/** A complete response; the body is not parsed. */
 export interface JsonResponse {
   status: number;
   headers: http.IncomingHttpHeaders;
   text: string;
 }
 
-/** Thrown by `exchange`; tells whether the request left this process. */
+/** Thrown by `exchange`; `sent`: the request may have left this process. */
 export class ExchangeError extends Error {
   constructor(
     message: string,
@@ -21,19 +21,19 @@
   }
 }
 
-/** What to send. */
+/** Request to send. */
 export interface ExchangeOptions {
   method: string;
   url: string;
   headers?: Record<string, string>;
-  /** Sent as JSON. */
+  /** Body, sent as JSON. */
   body?: unknown;
-  /** Sent as it is, in place of `body`. */
+  /** Raw body, sent unchanged if `body` is absent. */
   text?: string;
   timeoutMs: number;
 }
 
-/** Sends and reads whole; rejects with `ExchangeError`. */
+/** Sends a request and buffers the response; rejects with `ExchangeError`. */
 export const exchange = (options: ExchangeOptions): Promise<JsonResponse> =>
   new Promise((resolve, reject) => {
     const body =
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,15 +1,15 @@
-/** Helpers around Node's `http` server. */
+/** Helpers for Node's `http` server. */
 import type http from "node:http";
 import type { AddressInfo, Server } from "node:net";
 
-/** Splits "IP:port". */
+/** Splits "IP:port"; removes the brackets of an IPv6 address. */
 export const splitAddress = (text: string): { host: string; port: number } => {
   const at = text.lastIndexOf(":");
   const host = text.slice(0, at).replace(/[[\]]/g, "");
   return { host, port: Number(text.slice(at + 1)) };
 };
 
-/** Listens and resolves with the address in use, as "IP:port". */
+/** Starts listening; resolves with the bound address, as "IP:port". */
 export const listen = (server: Server, address: string): Promise<string> =>
   new Promise((resolve, reject) => {
     const { host, port } = splitAddress(address);
@@ -21,10 +21,13 @@
     });
   });
 
-/** Thrown when a body is larger than allowed. */
+/** Thrown if a request body exceeds the limit. */
 export class BodyTooLargeError extends Error {}
 
-/** Reads a body whole; rejects when it is too large or cut. */
+/**
+ * Buffers a request body. Rejects with `BodyTooLargeError` above `maxBytes`,
+ * and with `Error` if the connection closes early.
+ */
 export const readBody = (
   req: http.IncomingMessage,
   maxBytes: number,
@@ -48,7 +51,7 @@
     });
   });
 
-/** Answers with JSON. */
+/** Sends a JSON response unless headers were sent or the socket is closed. */
 export const sendJson = (
   res: http.ServerResponse,
   status: number,
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -177,7 +177,7 @@
     }
   }
 
-  /** Tells a peer that answers but is suspect or gone, so that it refutes it. */
+  /** Tells a peer that answers while suspect or gone, so that it refutes. */
   private async notifyIfDoubted(id: string, address: string): Promise<void> {
     if (!this.isDoubted(id)) return;
     const { link } = this.options;
--- a/src/query/statement.ts
+++ b/src/query/statement.ts
@@ -1,15 +1,15 @@
-/** Parses one statement of the query and command language. */
+/** Parser and row filter of the query and command language. */
 import { parse, SyntaxError as ParserError } from "../gen/query.js";
 import type { ParsedStatement, ParsedValue } from "../gen/query.js";
 
 export type Statement = ParsedStatement;
 export type { ParsedValue };
 
-/** A statement that can't be carried out as typed, and where it is wrong. */
+/** Thrown for a statement that is invalid or can't be applied. */
 export class StatementError extends Error {
   constructor(
     message: string,
-    /** Offset in the statement. */
+    /** Character offset of the error in the statement. */
     readonly at: number,
   ) {
     super(message);
@@ -18,6 +18,7 @@
 
 const MAX_STATEMENT_CHARS = 2000;
 
+/** Parses a statement; throws `StatementError` if it is invalid or too long. */
 export const parseStatement = (text: string): Statement => {
   if (text.length > MAX_STATEMENT_CHARS) {
     throw new StatementError("the statement is too long", MAX_STATEMENT_CHARS);
@@ -30,9 +31,10 @@
   }
 };
 
-/** A row of a table that conditions are held against. */
+/** A table row to which conditions are applied. */
 export type Row = Record<string, string | number | boolean>;
 
+/** Compares as numbers if both are numeric; other operators mean contains. */
 const compare = (operator: string, left: string, right: string): boolean => {
   const isNumber =
     left !== "" && right !== "" && !isNaN(+left) && !isNaN(+right);
@@ -55,7 +57,10 @@
   }
 };
 
-/** The rows for which every condition holds. */
+/**
+ * Returns the rows that match every condition; throws `StatementError` for a
+ * column that does not exist.
+ */
 export const filterRows = (
   rows: Row[],
   columns: readonly string[],
--- a/src/settings/checkedYaml.ts
+++ b/src/settings/checkedYaml.ts
@@ -1,6 +1,6 @@
 /**
- * Reads YAML and checks it against a schema; an error names the file, the
- * line, and what was expected there.
+ * Parses YAML and validates it against a schema; errors name the file, the
+ * line and the expected value.
  */
 import { LineCounter, parseDocument, isNode, isMap } from "yaml";
 import type { Document } from "yaml";
@@ -10,6 +10,7 @@
 
 type Path = readonly PropertyKey[];
 
+/** Line of the node at `path`, or of its nearest existing parent. */
 const lineOf = (doc: Document, lines: LineCounter, path: Path): number => {
   for (let length = path.length; length >= 0; length -= 1) {
     const node = doc.getIn(path.slice(0, length), true);
@@ -47,7 +48,7 @@
   return { line, text: `${where}: ${issue.message}` };
 };
 
-/** Parses and checks `text`; throws `InvalidInputError` with every fault. */
+/** Parses and validates `text`; throws `InvalidInputError` with all issues. */
 export const parseCheckedYaml = <T>(
   file: string,
   text: string,
--- a/src/settings/loadSettings.ts
+++ b/src/settings/loadSettings.ts
@@ -1,4 +1,4 @@
-/** Loads the settings file of one process. */
+/** Loads the settings of one process from a YAML file. */
 import { parseCheckedYaml } from "./checkedYaml.js";
 import { readText } from "./readText.js";
 import { settingsSchema } from "./schema.js";
--- a/src/settings/reference.ts
+++ b/src/settings/reference.ts
@@ -1,4 +1,4 @@
-/** Prints every setting with its unit, default and reason. */
+/** Generates the settings reference from the schema descriptions. */
 import { z } from "zod/v4";
 
 import { entrySchema, sideSchema } from "./schema.js";
@@ -35,7 +35,7 @@
   return rows;
 };
 
-/** The settings of both roles as Markdown tables. */
+/** Returns the settings of both roles as Markdown tables. */
 export const settingsReference = (): string => {
   const sections = [
     ["entry", entrySchema],
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of one process. Each field's description is what
- * `snowgated --reference` prints and docs/SETTINGS.md holds.
+ * Schema of the settings of one process. `snowgated --reference` prints the
+ * field descriptions; docs/SETTINGS.md contains its output.
  */
 import { z } from "zod/v4";
 
--- a/src/tasks/supervisor.ts
+++ b/src/tasks/supervisor.ts
@@ -1,6 +1,6 @@
 /**
- * js-csp tasks under supervision. A throw inside a plain `go` block escapes
- * as an uncaught exception; here it is logged and the task starts again.
+ * Supervised js-csp tasks. An exception in a plain `go` block becomes an
+ * uncaught exception; here it is logged and the task is restarted.
  */
 import csp from "js-csp";
 import type { Channel } from "js-csp";
@@ -11,12 +11,12 @@
 /** The body of a task: a generator that yields csp instructions. */
 export type TaskBody = () => Generator<unknown, void, unknown>;
 
-/** What a promise came to, as a message on a channel. */
+/** Result of a promise, delivered on a channel. */
 export type Outcome<T> = { ok: true; value: T } | { ok: false; err: unknown };
 
 const RESTART_PAUSE_MS = 200;
 
-/** Turns a promise into a channel that delivers its outcome once. */
+/** Returns a channel that delivers the promise's outcome once. */
 export const settle = <T>(promise: Promise<T>): Channel<Outcome<T>> => {
   const channel = csp.chan<Outcome<T>>(1);
   promise.then(
@@ -26,7 +26,7 @@
   return channel;
 };
 
-/** Owns the tasks of one process: starts, restarts and stops them. */
+/** Starts, restarts and stops the tasks of one process. */
 export class Supervisor {
   private readonly stopChannel = csp.chan<never>();
   private stopped = false;
@@ -37,12 +37,15 @@
     return this.stopped;
   }
 
-  /** Runs a task until it returns; a throw restarts it after a pause. */
+  /** Runs a task until it returns; restarts it after a pause if it throws. */
   start(name: string, body: TaskBody): void {
     csp.spawn(this.supervised(name, body));
   }
 
-  /** Runs `step` every `periodMs` until the process stops. */
+  /**
+   * Runs `step` until the process stops, with a pause of `periodMs` after each
+   * run. A rejected step is logged.
+   */
   every(name: string, periodMs: number, step: () => Promise<void>): void {
     const pause = this.pause.bind(this);
     const isStopped = () => this.stopped;
@@ -58,7 +61,7 @@
     });
   }
 
-  /** A csp instruction that waits, but ends early when the process stops. */
+  /** A csp instruction that waits, but returns early if the process stops. */
   pause(periodMs: number): unknown {
     return csp.alts([csp.timeout(periodMs), this.stopChannel]);
   }
@@ -77,7 +80,9 @@
         yield* body();
         return;
       } catch (err) {
-        this.log.error(`task ${name} threw`, { cause: errText(err) });
+        this.log.error(`task ${name} threw, restarting`, {
+          cause: errText(err),
+        });
         yield this.pause(RESTART_PAUSE_MS);
       }
     }
--- a/src/telemetry/lineWriter.ts
+++ b/src/telemetry/lineWriter.ts
@@ -1,21 +1,22 @@
 /**
- * Writes lines to a file descriptor without ever making the process wait: a
- * pipe whose reader has stopped blocks a thread of the pool, not the event
- * loop, and lines beyond what is held are dropped and counted.
+ * Writes lines to a file descriptor without blocking the event loop: a pipe
+ * whose reader has stopped blocks only a thread of the pool. Lines that exceed
+ * the buffer are dropped and counted.
  */
 import { write } from "node:fs";
 
-/** Lines are written together at the latest after this, ms. */
+/** Maximum delay before buffered lines are written, ms. */
 const FLUSH_MS = 50;
-/** Most bytes held for a slow reader. */
+/** Maximum size of the buffer for a slow reader, bytes. */
 const MAX_PENDING_BYTES = 512 * 1024;
 
+/** Buffered, non-blocking line writer; `flushMs` is in ms. */
 export class LineWriter {
   private pending: string[] = [];
   private pendingBytes = 0;
   private isWriting = false;
   private timer: NodeJS.Timeout | undefined;
-  /** Lines dropped since the reader last kept up. */
+  /** Lines dropped since the last report in the log. */
   private dropped = 0;
   private droppedTotal = 0;
 
@@ -29,6 +30,7 @@
     return this.droppedTotal;
   }
 
+  /** Buffers a line, or drops it if the buffer is full. */
   line(text: string): void {
     if (this.pendingBytes + text.length > MAX_PENDING_BYTES) {
       this.dropped += 1;
@@ -40,7 +42,7 @@
     this.timer ??= setTimeout(() => this.flush(), this.flushMs).unref();
   }
 
-  /** Starts to write what is held. */
+  /** Starts writing the buffered lines. */
   flush(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
@@ -64,7 +66,7 @@
 
   private writeAll(bytes: Buffer, done: () => void): void {
     write(this.fd, bytes, (err, written) => {
-      // EAGAIN: the pipe is full; anything else: nobody reads any more.
+      // EAGAIN: the pipe is full, so retry. Other errors: the reader is gone.
       if (err !== null && err.code !== "EAGAIN") return done();
       const rest = bytes.subarray(err === null ? written : 0);
       if (rest.length === 0) return done();
--- a/src/telemetry/log.ts
+++ b/src/telemetry/log.ts
@@ -1,13 +1,13 @@
-/** JSON-line logs through consola. */
+/** JSON lines logging, based on consola. */
 import { createConsola } from "consola";
 
 import { LogRateLimiter } from "./logRateLimiter.js";
 import type { LineWriter } from "./lineWriter.js";
 
-/** Fields of a log line besides its message. */
+/** Additional fields of a log line. */
 export type LogFields = Record<string, string | number | boolean | undefined>;
 
-/** What the rest of the system uses to log. */
+/** Logger interface. */
 export interface Log {
   info(message: string, fields?: LogFields): void;
   warn(message: string, fields?: LogFields): void;
@@ -28,17 +28,17 @@
 
 export interface LogOptions {
   level: LogLevel;
-  /** Name of the process on each line. */
+  /** Process name, written on each line. */
   process: string;
   writer: LineWriter;
   now: () => number;
 }
 
-/** Kind of a line for the budget: what happened, and how it ended. */
+/** Rate limit key of a line: its message and its outcome or phase. */
 const lineKind = (message: string, fields: LogFields | undefined): string =>
   `${message} ${fields?.outcome ?? fields?.phase ?? ""}`.trim();
 
-/** A logger that writes one JSON object a line, bounded by kind. */
+/** Creates a logger that writes JSON lines, rate-limited by kind of line. */
 export const createLog = (options: LogOptions): Log => {
   const { level, process, writer, now } = options;
   const limiter = new LogRateLimiter();
--- a/src/telemetry/logRateLimiter.ts
+++ b/src/telemetry/logRateLimiter.ts
@@ -1,31 +1,32 @@
 /**
- * Bounds how many lines of one kind are logged in a second, so that a burst
- * of one outcome neither fills the log nor hides the others. What is left
- * out is counted. Pure.
+ * Limits the log lines per second of each kind, so that a burst of one outcome
+ * neither fills the log nor hides the others. Omitted lines are counted. Does
+ * no I/O; the time is passed in.
  */
 import { newTokenBucket, takeTokens } from "../shared/tokenBucket.js";
 import type { TokenBucket } from "../shared/tokenBucket.js";
 
-/** Lines of one kind in a second, and at once. */
+/** Rate and burst limit per kind, lines. */
 const LINES_PER_SECOND = 40;
 const BURST = 80;
-/** Kinds that are told apart; all further ones share a budget. */
+/** Maximum kinds with their own limit; all others share one. */
 const MAX_KINDS = 64;
 const OTHER_KIND = "other";
 const REPORT_INTERVAL_MS = 1000;
 
-/** Lines left out of one kind since the last report. */
+/** Number of lines of one kind omitted since the last report. */
 export interface Omission {
   kind: string;
   count: number;
 }
 
+/** Token bucket per kind of line. */
 export class LogRateLimiter {
   private readonly buckets = new Map<string, TokenBucket>();
   private readonly omitted = new Map<string, number>();
   private reportAt = -Infinity;
 
-  /** Whether a line of this kind may be written now. */
+  /** Returns whether a line of this kind may be written at `now`, ms. */
   take(kind: string, now: number): boolean {
     const isKnown = this.buckets.has(kind) || this.buckets.size < MAX_KINDS;
     const key = isKnown ? kind : OTHER_KIND;
@@ -37,7 +38,7 @@
     return taken;
   }
 
-  /** What was left out, at most once a second. */
+  /** Returns the omitted lines by kind, at most once a second. */
   report(now: number): Omission[] {
     if (this.omitted.size === 0 || now - this.reportAt < REPORT_INTERVAL_MS)
       return [];
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,23 +1,25 @@
 /**
- * Counters and latency histograms. Each goes to StatsD by hot-shots where an
- * address is set, and is kept here so that an operator can read it without a
- * StatsD server. Histograms by workspace are bounded in number: the busiest
- * have one by name, all the rest share one.
+ * Counters and latency histograms. They are sent to StatsD via hot-shots if an
+ * address is set, and kept in memory so that operators can read them without a
+ * StatsD server. The number of histograms per workspace is limited: the busiest
+ * workspaces have their own, all others share one.
  */
 import { StatsD } from "hot-shots";
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import { LRUCache } from "lru-cache";
 
+/** Maximum workspaces with their own histogram. */
 const MAX_WORKSPACES = 64;
-/** Further workspaces that are counted, to find the busiest. */
+/** Maximum other workspaces whose requests are counted, to find the busiest. */
 const MAX_UNNAMED_WORKSPACES = 1024;
+/** Requests of a workspace between two checks for a replacement. */
 const EVICTION_CHECK_INTERVAL = 16;
 const OTHER_WORKSPACE = "other";
 const MAX_LATENCY_MS = 600_000;
 const PERCENTILES = [50, 95, 99] as const;
 
-/** Latency of one class or workspace, in ms. */
+/** Latency percentiles of one class or workspace, ms. */
 export interface LatencyRow {
   name: string;
   count: number;
@@ -26,10 +28,10 @@
   p99: number;
 }
 
-/** What the rest of the system uses to measure. */
+/** Metrics interface. */
 export interface Metrics {
   count(name: string, tags: Record<string, string>): void;
-  /** Time from arrival to the end of the answer, ms. */
+  /** Records the time from arrival to the end of the answer, ms. */
   latency(className: string, workspace: string, durationMs: number): void;
   counters(): Record<string, number>;
   latencyRows(): LatencyRow[];
@@ -51,14 +53,14 @@
   return { name, count: histogram.totalCount, p50, p95, p99 };
 };
 
-/** The one implementation: StatsD plus bounded memory. */
+/** Sends metrics to StatsD and keeps them in bounded memory. */
 export class StatsdMetrics implements Metrics {
   private readonly client: StatsD | undefined;
   private readonly counts = new Map<string, number>();
   private readonly byClass = new Map<string, Histogram>();
   private readonly other = newHistogram();
   private readonly byWorkspace = new Map<string, Histogram>();
-  /** Requests of workspaces without a histogram of their own. */
+  /** Request counts of workspaces without their own histogram. */
   private readonly unnamedCounts = new LRUCache<string, number>({
     max: MAX_UNNAMED_WORKSPACES,
   });
@@ -125,11 +127,14 @@
     return fresh;
   }
 
-  /** A workspace that is busier than the least busy one takes its place. */
+  /**
+   * Frees the histogram of the least busy workspace if `name` is busier; its
+   * values go to the shared histogram. Returns whether one was freed.
+   */
   private tryReplaceLeastBusy(name: string): boolean {
     const count = (this.unnamedCounts.get(name) ?? 0) + 1;
     this.unnamedCounts.set(name, count);
-    // Looking for the least busy one costs: only now and then.
+    // Finding the least busy workspace scans all of them, so check rarely.
     if (count % EVICTION_CHECK_INTERVAL !== 0) return false;
     const named = [...this.byWorkspace];
     const least = named.reduce((a, b) =>
--- a/src/telemetry/metricsText.ts
+++ b/src/telemetry/metricsText.ts
@@ -1,4 +1,4 @@
-/** Metrics as lines of text: name, labels in braces, value. */
+/** Formats metrics as text lines: name, labels in braces, value. */
 import type { Metrics } from "./metrics.js";
 
 const label = (text: string): string => JSON.stringify(text);
