--- a/src/query/statement.ts
+++ b/src/query/statement.ts
@@ -34,7 +34,7 @@
 /** A table row to which conditions are applied. */
 export type Row = Record<string, string | number | boolean>;
 
-/** Compares as numbers if both are numeric; other operators mean contains. */
+/** Compares as numbers if both are numeric; `~` means contains. */
 const compare = (operator: string, left: string, right: string): boolean => {
   const isNumber =
     left !== "" && right !== "" && !isNaN(+left) && !isNaN(+right);
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -9,7 +9,7 @@
   WatchReply,
   WriteResult,
 } from "./types.js";
-export { newEraLogger } from "./eraLogger.js";
+export { newEraLogger } from "./eraLog.js";
 export { decodePosition, StoreEra, encodePosition } from "./position.js";
 export type { EraUpdate, StorePosition } from "./position.js";
 export { FeedWatch, watchWaitMs } from "./feed.js";
