--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -3,7 +3,7 @@
 
 import {
   addedPrefix,
-  answerNames,
+  responseIds,
   callHeaders,
 } from "../platform/standins/caller.js";
 import { longPrompt, shortPrompt } from "../platform/standins/deployment.js";
@@ -138,7 +138,7 @@
     const target = PATHS[kind];
     const answer = await exchange(this.agent, address, target, headers, now);
     const { status, headAt, isWhole, body } = answer;
-    const names = answerNames(answer.headers);
+    const names = responseIds(answer.headers);
     records.calls.push({
       id,
       kind,
@@ -179,7 +179,7 @@
       const { now } = fleet;
       const answer = await exchange(agent, callers, target, headers, now);
       const { status, headAt } = answer;
-      const { signedBy } = answerNames(answer.headers);
+      const { signedBy } = responseIds(answer.headers);
       const endedAt = now();
       fleet.records.probes.push({
         id,
--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -273,7 +273,7 @@
       await last(500, 4000);
       fleet.store.mode = "silent";
       await last(100, 1000);
-      fleet.store.comeBackFrom(copy);
+      fleet.store.restoreFrom(copy);
       fleet.store.mode = "up";
       await last(100, 1500);
       fleet.writeAgain();
--- a/soak/fleet.ts
+++ b/soak/fleet.ts
@@ -8,7 +8,7 @@
 import path from "node:path";
 
 import { KINDS } from "../platform/names.js";
-import { putConfig, unlist } from "../platform/standins/caller.js";
+import { putConfig, removeFromList } from "../platform/standins/caller.js";
 import { StandinReplica } from "../platform/standins/replica.js";
 import type { Arrival, Behaviour } from "../platform/standins/replica.js";
 import { StandinStore } from "../platform/standins/store.js";
@@ -176,7 +176,7 @@
   }
 
   unlist(replica: SoakReplica): void {
-    unlist(this.store, replica.standin);
+    removeFromList(this.store, replica.standin);
   }
 
   /** The replica ends; its address answers no more. */
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -2,7 +2,7 @@
  * Whether what replicas say of themselves was heeded, by entry: which entry
  * sent a request is known from its caller. Pure: records in, violations out.
  */
-import { judgeRate } from "../platform/standins/rateJudge.js";
+import { findRateBreaches } from "../platform/standins/rateJudge.js";
 import type { ToldSignals } from "../platform/standins/replica.js";
 import type {
   ArrivalRecord,
@@ -136,7 +136,7 @@
     const arrivals = sent
       .filter((item) => !isExcused(records, item))
       .map((item) => ({ ...item, at: earliestAt(records.stalls, item.at) }));
-    const [first] = judgeRate({ arrivals, named, told }, RATE_BOUNDS);
+    const [first] = findRateBreaches({ arrivals, named, told }, RATE_BOUNDS);
     if (first === undefined) return [];
     const { at, got, allowed } = first;
     const what = `${replica} got ${got} of ${allowed} from ${Math.round(at)}`;
--- a/tests/rateLimits/fleet.test.ts
+++ b/tests/rateLimits/fleet.test.ts
@@ -4,9 +4,9 @@
  */
 import { expect } from "chai";
 
-import { judgeRate } from "../../platform/standins/rateJudge.js";
+import { findRateBreaches } from "../../platform/standins/rateJudge.js";
 import type {
-  NamedLimit,
+  AnnouncedLimit,
   RateBreach,
 } from "../../platform/standins/rateJudge.js";
 import { playPermits } from "../support/permitFleet.js";
@@ -32,17 +32,17 @@
   const arrivals = playPermits(options, PLAY_MS);
   const names = Array.from({ length: entries }, (_, at) => String(at));
   const told = new Map(names.map((name) => [name, -Infinity]));
-  const breaches = judgeRate({ arrivals, named, told }, BOUNDS);
+  const breaches = findRateBreaches({ arrivals, named, told }, BOUNDS);
   return { sent: arrivals.length, breaches };
 };
 
-const limitOf = (perS: number): NamedLimit[] => [{ at: 0, perS }];
+const limitOf = (perS: number): AnnouncedLimit[] => [{ at: 0, perS }];
 
 const changing = (
   count: number,
   everyMs: number,
   perS: (at: number) => number,
-): NamedLimit[] =>
+): AnnouncedLimit[] =>
   Array.from({ length: count }, (_, at) => ({
     at: at * everyMs,
     perS: perS(at),
--- a/tests/support/permitFleet.ts
+++ b/tests/support/permitFleet.ts
@@ -4,8 +4,8 @@
  * can't be reached. Decisions are the real ones; a hop takes no time.
  */
 import type {
-  JudgedArrival,
-  NamedLimit,
+  EntryArrival,
+  AnnouncedLimit,
 } from "../../platform/standins/rateJudge.js";
 import { RateLimits } from "../../src/rateLimits/index.js";
 import type { PermitAnswer, PermitShare } from "../../src/rateLimits/index.js";
@@ -26,7 +26,7 @@
   /** `uneven`: a tenth of the entries has nine tenths of the load. */
   load: "even" | "uneven";
   /** What the replica says from when on; its first answer tells all. */
-  named: readonly NamedLimit[];
+  named: readonly AnnouncedLimit[];
   /** Whether entries reach a holder at that time; `next`: another one. */
   holderAt?: (now: number) => "first" | "next" | "none";
   /** Whether that entry is cut off from whoever holds. */
@@ -45,7 +45,7 @@
 export const playPermits = (
   options: PermitFleetOptions,
   ms: number,
-): JudgedArrival[] => {
+): EntryArrival[] => {
   const rng = seededRng(options.seed);
   const entries = newEntries(options, rng);
   const holders = {
@@ -53,7 +53,7 @@
     next: spender(rng, { fraction: 1, isAllocator: true }),
   };
   const all = [...entries.map(({ rates }) => rates), ...Object.values(holders)];
-  const arrivals: JudgedArrival[] = [];
+  const arrivals: EntryArrival[] = [];
   const { named, holderAt = () => "first", isCutOff = () => false } = options;
   let told = 0;
   let lastHolder: RateLimits | undefined;
@@ -119,7 +119,7 @@
 });
 
 const current = (
-  named: readonly NamedLimit[],
+  named: readonly AnnouncedLimit[],
   now: number,
 ): number | undefined => named.filter(({ at }) => at <= now).at(-1)?.perS;
 
