--- a/bench/gatewayLoad.ts
+++ b/bench/gatewayLoad.ts
@@ -13,7 +13,7 @@
 import {
   Deployment,
   HOST,
-  longPrompt,
+  longPromptHeaders,
 } from "../platform/standins/deployment.js";
 import { SETTINGS_VARIABLE } from "../platform/names.js";
 import { listen, splitAddress } from "../src/http/index.js";
@@ -88,7 +88,10 @@
   const isPlain = Math.random() < PLAIN_SHARE;
   const call = isPlain
     ? deployment.call("/unsafe/x", {}, { gateway })
-    : deployment.call("/resume/x", longPrompt(), { body: BODY, gateway });
+    : deployment.call("/resume/x", longPromptHeaders(), {
+        body: BODY,
+        gateway,
+      });
   pending.push(
     call.then(({ status }) => {
       counts[status] = (counts[status] ?? 0) + 1;
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -6,7 +6,10 @@
   responseIds,
   callHeaders,
 } from "../platform/standins/caller.js";
-import { longPrompt, shortPrompt } from "../platform/standins/deployment.js";
+import {
+  longPromptHeaders,
+  shortPromptHeaders,
+} from "../platform/standins/deployment.js";
 import type { Rng } from "../src/shared/rng.js";
 import { DEADLINE_MS } from "./checks.js";
 import { drawOne } from "./draw.js";
@@ -128,7 +131,8 @@
     const id = `${this.name}-${this.sequence}`;
     const kind = drawOne(CALL_KINDS, this.rng) ?? "safe";
     const isStream = IS_STREAM[kind];
-    const prompt = this.rng() < 0.5 ? longPrompt() : shortPrompt();
+    const prompt =
+      this.rng() < 0.5 ? longPromptHeaders() : shortPromptHeaders();
     const headers = {
       ...callHeaders(id, DEADLINE_MS),
       ...(isStream ? prompt : {}),
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -3,7 +3,7 @@
  * sent a request is known from its caller. Pure: records in, violations out.
  */
 import { findRateBreaches } from "../platform/standins/rateJudge.js";
-import type { ToldSignals } from "../platform/standins/replica.js";
+import type { AnnouncedSignals } from "../platform/standins/replica.js";
 import type {
   ArrivalRecord,
   SoakRecords,
@@ -120,7 +120,7 @@
 /** When the first answer that said it left for each life of an entry. */
 const firstTold = (
   sent: readonly Sent[],
-  says: (told: ToldSignals) => boolean,
+  says: (told: AnnouncedSignals) => boolean,
 ): Map<string, number> => {
   const told = new Map<string, number>();
   for (const { entry, at, told: signals } of sent) {
@@ -143,7 +143,7 @@
     return [{ promise: "no more than a replica takes", what }];
   });
 
-const backOffMs = ({ backOff }: ToldSignals): number =>
+const backOffMs = ({ backOff }: AnnouncedSignals): number =>
   backOff !== undefined && SECONDS.test(backOff)
     ? Number(backOff) * MS_PER_SECOND
     : 0;
--- a/soak/types.ts
+++ b/soak/types.ts
@@ -1,5 +1,5 @@
 /** What the soak writes down while it runs, and what it finds in it. */
-import type { ToldSignals } from "../platform/standins/replica.js";
+import type { AnnouncedSignals } from "../platform/standins/replica.js";
 
 /** What callers may send: plain requests and streams. */
 export const CALL_KINDS = ["safe", "unsafe", "resumable", "draft"] as const;
@@ -75,7 +75,7 @@
   requestId: string;
   replica: string;
   at: number;
-  told: ToldSignals;
+  told: AnnouncedSignals;
 }
 
 /** From then on a replica names this limit; undefined: none. */
--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -174,9 +174,9 @@
     urgency: URGENCIES.indexOf(urgency),
     promptTokens,
     blocks: EngineModel.blocksOf(body.model ?? "", prompt),
-    unread: promptTokens,
+    tokensToRead: promptTokens,
     hasLookedUp: false,
-    next: Math.min(from, outputTokens - 1),
+    nextToken: Math.min(from, outputTokens - 1),
     outputTokens,
     onToken,
     onEnd,
@@ -200,7 +200,7 @@
   }
   if (kvUrl === undefined) return engine.add(sequence);
   void importKv(String(kvUrl)).then((isHere) => {
-    if (isHere) engine.imported(sequence);
+    if (isHere) engine.markImported(sequence);
     if (isHere) kvImports += 1;
     if (run.state === "running") engine.add(sequence);
   });
--- a/standins/engineModel.ts
+++ b/standins/engineModel.ts
@@ -34,11 +34,11 @@
   promptTokens: number;
   blocks: string[];
   /** Prompt tokens still to read. */
-  unread: number;
+  tokensToRead: number;
   /** Whether the cache was asked for its prompt. */
   hasLookedUp: boolean;
   /** Next output token to produce. */
-  next: number;
+  nextToken: number;
   /** 0: only the prompt is read. */
   outputTokens: number;
   onToken: (index: number) => void;
@@ -62,7 +62,7 @@
 
   get unreadTokens(): number {
     return [...this.running, ...this.waiting].reduce(
-      (sum, item) => sum + Math.max(0, item.unread),
+      (sum, item) => sum + Math.max(0, item.tokensToRead),
       0,
     );
   }
@@ -78,8 +78,8 @@
   }
 
   /** A prompt's KV cache came from another engine. */
-  imported(sequence: Sequence): void {
-    sequence.unread = 0;
+  markImported(sequence: Sequence): void {
+    sequence.tokensToRead = 0;
     sequence.hasLookedUp = true;
     this.remember(sequence.blocks);
   }
@@ -104,13 +104,13 @@
     const reused = Math.min(cached, sequence.promptTokens - 1);
     this.reusedTokens += reused;
     this.readTokens += sequence.promptTokens - reused;
-    sequence.unread = sequence.promptTokens - reused;
+    sequence.tokensToRead = sequence.promptTokens - reused;
     sequence.hasLookedUp = true;
   }
 
   /** Blocks are kept as they are read, for those that come behind. */
   private rememberRead(sequence: Sequence): void {
-    const read = sequence.promptTokens - sequence.unread;
+    const read = sequence.promptTokens - sequence.tokensToRead;
     this.remember(sequence.blocks.slice(0, Math.floor(read / BLOCK_TOKENS)));
   }
 
@@ -141,15 +141,15 @@
     let chunk = this.rates.chunkTokens;
     let read = 0;
     for (const item of this.running) {
-      if (item.unread <= 0 || chunk <= 0) continue;
+      if (item.tokensToRead <= 0 || chunk <= 0) continue;
       if (!item.hasLookedUp) this.lookUp(item);
-      const part = Math.min(chunk, item.unread);
-      item.unread -= part;
+      const part = Math.min(chunk, item.tokensToRead);
+      item.tokensToRead -= part;
       chunk -= part;
       read += part;
       this.rememberRead(item);
     }
-    const isRead = (item: Sequence) => item.unread <= 0;
+    const isRead = (item: Sequence) => item.tokensToRead <= 0;
     const decoding = this.running.filter(
       (item) => isRead(item) && item.outputTokens > 0,
     );
@@ -172,9 +172,9 @@
   private finishStep(decoding: Sequence[]): void {
     for (const item of decoding) {
       if (!this.running.includes(item)) continue;
-      item.onToken(item.next);
-      item.next += 1;
-      if (item.next < item.outputTokens) continue;
+      item.onToken(item.nextToken);
+      item.nextToken += 1;
+      if (item.nextToken < item.outputTokens) continue;
       this.running = this.running.filter((other) => other !== item);
       item.onEnd();
     }
--- a/standins/faultLink.ts
+++ b/standins/faultLink.ts
@@ -71,7 +71,7 @@
   }
 
   /** Pieces that are delayed or held back. */
-  get heldBack(): number {
+  get pendingChunks(): number {
     return [...this.pairs].reduce((sum, { held }) => sum + held.length, 0);
   }
 
--- a/tests/faultLink.test.ts
+++ b/tests/faultLink.test.ts
@@ -50,7 +50,7 @@
     const socket = await connect();
     link.set({ mode: "delay", delayMs: DELAY_MS });
     socket.write("first ");
-    while (link.heldBack === 0) await turn();
+    while (link.pendingChunks === 0) await turn();
     link.set({ mode: "pass" });
     socket.write("second");
     await untilAll("first second".length);
@@ -65,7 +65,7 @@
     await untilAll("first ".length);
     link.set({ mode: "freeze" });
     socket.write("second");
-    while (link.heldBack === 0) await turn();
+    while (link.pendingChunks === 0) await turn();
     expect(received).to.equal("first ");
     link.set({ mode: "pass" });
     await untilAll("first second".length);
--- a/tests/soak/checks.test.ts
+++ b/tests/soak/checks.test.ts
@@ -6,7 +6,7 @@
   findViolations,
   STREAM_EVENTS,
 } from "../../soak/checks.js";
-import type { ToldSignals } from "../../platform/standins/replica.js";
+import type { AnnouncedSignals } from "../../platform/standins/replica.js";
 import type {
   CallRecord,
   FaultRecord,
@@ -218,7 +218,7 @@
       entry: string,
       count: number,
       from: number,
-      says: Partial<ToldSignals> = {},
+      says: Partial<AnnouncedSignals> = {},
     ) => {
       const ids = Array.from(
         { length: count },
