--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of a model engine: OpenAI-compatible HTTP for requests, and
- * `/admin` for orders, state, load and KV cache. It records all that it ran
- * and every order that it took, for tests to compare.
+ * Stand-in for a model engine: an OpenAI-compatible HTTP API for requests, and
+ * `/admin` for orders, state, load and the KV cache. It records every request
+ * that it ran and every order that it received, for tests to check.
  */
 import { createHash } from "node:crypto";
 
@@ -11,16 +11,16 @@
 import type { Call } from "./support.js";
 
 interface Faults {
-  /** So many answers carry another request's id. */
+  /** Number of responses that carry another request's id. */
   cross: number;
-  /** So many streams are cut after `cutAfter` tokens. */
+  /** Number of streams that are cut after `cutAfter` tokens. */
   cut: number;
   cutAfter: number;
-  /** So many streams repeat each chunk. */
+  /** Number of streams that send each chunk twice. */
   duplicate: number;
-  /** The process ends in the middle of the next order. */
+  /** Whether the process exits during the next order. */
   dieInOrder: boolean;
-  /** So many orders are carried out and lose their answer. */
+  /** Number of orders that are executed without a response. */
   loseOrderAnswers: number;
 }
 
@@ -74,14 +74,14 @@
 const promptOf = (body: ChatBody): string =>
   body.prompt ?? (body.messages ?? []).map((item) => item.content).join("\n");
 
-const wordsOf = (prompt: string): string =>
+const digestOfPrompt = (prompt: string): string =>
   createHash("sha256").update(prompt).digest("hex").slice(0, 8);
 
-/** Requests that run now, with what ends their connection. */
+/** Functions that break the connection of each current request, by sequence. */
 const connections = new Map<string, () => void>();
 
-/** Orders that take the engine away from the requests that it runs. */
-const TAKES_AWAY = ["role", "unload-model"];
+/** Kinds of orders that interrupt all current requests. */
+const INTERRUPTING_ORDERS = ["role", "unload-model"];
 
 const cutStream = (call: Call, sequence: Sequence): void => {
   engine.cancel(sequence.id);
@@ -104,7 +104,7 @@
   const promptTokens = Math.ceil(prompt.length / 4);
   const isCrossed = faults.cross > 0;
   if (isCrossed) faults.cross -= 1;
-  const mark = isCrossed ? "othersXX" : wordsOf(prompt);
+  const mark = isCrossed ? "othersXX" : digestOfPrompt(prompt);
   const isExport = req.headers["x-snowgate-kv-export"] !== undefined;
   const kvUrl = req.headers["x-snowgate-kv-import"];
   const outputTokens = isExport ? 0 : Math.max(1, body.max_tokens ?? 16);
@@ -112,16 +112,16 @@
   const urgency = String(req.headers["x-snowgate-urgency"] ?? "normal");
   const run = { requestId, from, state: "running" };
   runs.push(run);
-  const shownId = isCrossed ? "some-other-request" : requestId;
+  const responseId = isCrossed ? "some-other-request" : requestId;
   const isCut = faults.cut > 0;
   if (isCut) faults.cut -= 1;
-  const isDoubled = faults.duplicate > 0;
-  if (isDoubled) faults.duplicate -= 1;
-  const id = `cmpl-${shownId}`;
+  const isDuplicated = faults.duplicate > 0;
+  if (isDuplicated) faults.duplicate -= 1;
+  const id = `cmpl-${responseId}`;
   const created = Math.floor(Date.now() / 1000);
   const object = isChat ? "chat.completion" : "text_completion";
   const words: string[] = [];
-  const chunkOf = (text: string, finish: string | null, index: number) => {
+  const formatChunk = (text: string, finish: string | null, index: number) => {
     const choice = isChat
       ? { index: 0, delta: { content: text }, finish_reason: finish }
       : { index: 0, text, finish_reason: finish };
@@ -144,12 +144,12 @@
     }
     if (!body.stream) return;
     const finish = index + 1 >= outputTokens ? "stop" : null;
-    const text = chunkOf(word, finish, index);
-    res.write(isDoubled ? text + text : text);
+    const text = formatChunk(word, finish, index);
+    res.write(isDuplicated ? text + text : text);
   };
   const onEnd = () => {
     run.state = "done";
-    if (isExport) return answerExport(call, requestId, promptTokens);
+    if (isExport) return replyToExport(call, requestId, promptTokens);
     if (body.stream) return void res.end("data: [DONE]\n\n");
     const text = words.join("");
     const choice = isChat
@@ -166,7 +166,7 @@
         choices: [{ ...choice, finish_reason: "stop" }],
         usage: { completion_tokens: outputTokens },
       },
-      { "x-request-id": shownId },
+      { "x-request-id": responseId },
     );
   };
   const sequence: Sequence = {
@@ -194,30 +194,30 @@
   if (body.stream && !isExport) {
     res.writeHead(200, {
       "content-type": "text/event-stream",
-      "x-request-id": shownId,
+      "x-request-id": responseId,
     });
     res.flushHeaders();
   }
   if (kvUrl === undefined) return engine.add(sequence);
-  void importKv(String(kvUrl)).then((isHere) => {
-    if (isHere) engine.markImported(sequence);
-    if (isHere) kvImports += 1;
+  void importKv(String(kvUrl)).then((isImported) => {
+    if (isImported) engine.markImported(sequence);
+    if (isImported) kvImports += 1;
     if (run.state === "running") engine.add(sequence);
   });
 };
 
-/** KV caches that were read for other engines: prompt tokens by id. */
+/** KV caches prefilled for other engines: prompt tokens by request id. */
 const exported = new Map<string, number>();
 let kvImports = 0;
 
-const answerExport = ({ req, res }: Call, id: string, tokens: number) => {
+const replyToExport = ({ req, res }: Call, id: string, tokens: number) => {
   exported.set(id, tokens);
   const url = `http://${req.headers.host}/admin/kv/${id}`;
   reply(res, 200, { kv: { url, tokens } }, { "x-request-id": id });
 };
 
-/** From engine to engine; takes the time that so many tokens take. */
-const giveKv = ({ res }: Call, id: string): void => {
+/** Transfers a KV cache to another engine; the delay depends on its tokens. */
+const sendKv = ({ res }: Call, id: string): void => {
   const tokens = exported.get(id);
   if (tokens === undefined) return reply(res, 404, {});
   exported.delete(id);
@@ -264,7 +264,7 @@
   }
   highestFence = Math.max(highestFence, order.fence);
   busyWith = order;
-  if (TAKES_AWAY.includes(order.action.kind)) {
+  if (INTERRUPTING_ORDERS.includes(order.action.kind)) {
     for (const cut of connections.values()) cut();
   }
   if (faults.dieInOrder) process.exit(1);
@@ -292,7 +292,7 @@
 await serve((call) => {
   const { url, res, body } = call;
   const [, , kind, kvId] = url.pathname.split("/");
-  if (kind === "kv" && kvId !== undefined) return giveKv(call, kvId);
+  if (kind === "kv" && kvId !== undefined) return sendKv(call, kvId);
   switch (url.pathname) {
     case "/v1/chat/completions":
       return generate(call, true);
--- a/standins/engineModel.ts
+++ b/standins/engineModel.ts
@@ -1,25 +1,26 @@
 /**
- * The batching of the engine stand-in: steps that read a chunk of one
- * prompt and produce a token for each running sequence, with a limited
- * cache of prompt prefixes. Time is real; rates are options.
+ * Simulates an engine's continuous batching. Each step reads up to
+ * `chunkTokens` prompt tokens and produces one token for each sequence whose
+ * prompt has been read. Prompt prefixes are kept in a cache of limited size.
+ * Steps take real time; the rates are options.
  */
 import { prefixChain } from "../src/routing/prefixes.js";
 
 export interface EngineRates {
-  /** Prompt tokens read in a second by a mixed engine. */
+  /** Prompt tokens that a mixed engine reads per second. */
   prefillTokensPerSecond: number;
   /** Fixed time of a step, ms. */
   stepMs: number;
   /** Time that each running sequence adds to a step, ms. */
   sequenceMs: number;
   maxSequences: number;
-  /** Prompt tokens read in one step. */
+  /** Maximum number of prompt tokens read in one step. */
   chunkTokens: number;
-  /** Prefix blocks (256 tokens) kept. */
+  /** Maximum number of cached prefix blocks, of 256 tokens each. */
   cacheBlocks: number;
 }
 
-/** Speed by role against a mixed engine: prefill, decode. */
+/** Prefill and decode speed of each role, relative to a mixed engine. */
 const ROLE_SPEED: Record<string, [number, number]> = {
   mixed: [1, 1],
   prefill: [1.3, 0.5],
@@ -28,6 +29,7 @@
 
 const BLOCK_TOKENS = 256;
 
+/** A request in the batch. */
 export interface Sequence {
   id: string;
   urgency: number;
@@ -35,11 +37,11 @@
   blocks: string[];
   /** Prompt tokens still to read. */
   tokensToRead: number;
-  /** Whether the cache was asked for its prompt. */
+  /** Whether the prompt has been looked up in the cache. */
   hasLookedUp: boolean;
-  /** Next output token to produce. */
+  /** Index of the next output token. */
   nextToken: number;
-  /** 0: only the prompt is read. */
+  /** With 0, only the prompt is read. */
   outputTokens: number;
   onToken: (index: number) => void;
   onEnd: () => void;
@@ -77,11 +79,11 @@
     if (!this.isStepping) this.step();
   }
 
-  /** A prompt's KV cache came from another engine. */
+  /** Marks a prompt as read, since its KV cache came from another engine. */
   markImported(sequence: Sequence): void {
     sequence.tokensToRead = 0;
     sequence.hasLookedUp = true;
-    this.remember(sequence.blocks);
+    this.storeBlocks(sequence.blocks);
   }
 
   cancel(id: string): void {
@@ -93,14 +95,14 @@
     this.cache.clear();
   }
 
-  /** The cache is asked when the first chunk is due, not on arrival. */
-  private lookUp(sequence: Sequence): void {
+  /** Called when the first chunk is read, not when the sequence is added. */
+  private lookUpCache(sequence: Sequence): void {
     let cached = 0;
     for (const block of sequence.blocks) {
       if (!this.cache.has(block)) break;
       cached += BLOCK_TOKENS;
     }
-    // The last token is always read: it gives the first output.
+    // The last prompt token is always read: it produces the first output.
     const reused = Math.min(cached, sequence.promptTokens - 1);
     this.reusedTokens += reused;
     this.readTokens += sequence.promptTokens - reused;
@@ -108,13 +110,14 @@
     sequence.hasLookedUp = true;
   }
 
-  /** Blocks are kept as they are read, for those that come behind. */
-  private rememberRead(sequence: Sequence): void {
+  /** Caches blocks as soon as they are read, so that later sequences hit them. */
+  private cacheReadBlocks(sequence: Sequence): void {
     const read = sequence.promptTokens - sequence.tokensToRead;
-    this.remember(sequence.blocks.slice(0, Math.floor(read / BLOCK_TOKENS)));
+    this.storeBlocks(sequence.blocks.slice(0, Math.floor(read / BLOCK_TOKENS)));
   }
 
-  private remember(blocks: string[]): void {
+  /** Adds blocks to the cache and evicts the least recently used ones. */
+  private storeBlocks(blocks: string[]): void {
     for (const block of blocks) {
       this.cache.delete(block);
       this.cache.set(block, true);
@@ -139,32 +142,32 @@
     this.isStepping = true;
     const [prefillSpeed, decodeSpeed] = ROLE_SPEED[this.role] ?? [1, 1];
     let chunk = this.rates.chunkTokens;
-    let read = 0;
+    let tokensRead = 0;
     for (const item of this.running) {
       if (item.tokensToRead <= 0 || chunk <= 0) continue;
-      if (!item.hasLookedUp) this.lookUp(item);
-      const part = Math.min(chunk, item.tokensToRead);
-      item.tokensToRead -= part;
-      chunk -= part;
-      read += part;
-      this.rememberRead(item);
+      if (!item.hasLookedUp) this.lookUpCache(item);
+      const tokens = Math.min(chunk, item.tokensToRead);
+      item.tokensToRead -= tokens;
+      chunk -= tokens;
+      tokensRead += tokens;
+      this.cacheReadBlocks(item);
     }
     const isRead = (item: Sequence) => item.tokensToRead <= 0;
     const decoding = this.running.filter(
       (item) => isRead(item) && item.outputTokens > 0,
     );
-    const onlyRead = this.running.filter(
+    const prefillOnly = this.running.filter(
       (item) => isRead(item) && item.outputTokens === 0,
     );
     const readMs =
-      (read / (this.rates.prefillTokensPerSecond * prefillSpeed)) * 1000;
+      (tokensRead / (this.rates.prefillTokensPerSecond * prefillSpeed)) * 1000;
     const decodeMs =
       (this.rates.stepMs + decoding.length * this.rates.sequenceMs) /
       decodeSpeed;
     const stepMs = readMs + (decoding.length > 0 ? decodeMs : 0);
     setTimeout(() => {
-      this.running = this.running.filter((item) => !onlyRead.includes(item));
-      for (const item of onlyRead) item.onEnd();
+      this.running = this.running.filter((item) => !prefillOnly.includes(item));
+      for (const item of prefillOnly) item.onEnd();
       this.finishStep(decoding);
     }, stepMs);
   }
--- a/standins/faultLink.ts
+++ b/standins/faultLink.ts
@@ -1,6 +1,6 @@
 /**
- * A TCP proxy that does harm on command: it delays, holds back, swallows or
- * resets what passes, both ways or one way.
+ * TCP proxy with fault injection: it delays, holds, drops or resets traffic,
+ * in one or both directions.
  */
 import net from "node:net";
 import type { AddressInfo } from "node:net";
@@ -9,17 +9,17 @@
 
 export const LINK_MODES = [
   "pass",
-  /** Bytes arrive later. */
+  /** Data is forwarded after `delayMs`. */
   "delay",
-  /** Bytes are held back until the mode is `pass` again. */
+  /** Data is held until the mode is `pass` again. */
   "freeze",
-  /** Connections are reset when something passes. */
+  /** Connections are reset on the next data; without `hits`, also at once. */
   "cut",
-  /** Bytes are swallowed, both ways. */
+  /** Data is dropped in both directions. */
   "half-open",
-  /** What callers send is swallowed; answers pass. */
+  /** Data from clients is dropped; responses pass. */
   "one-way",
-  /** The request passes, the answer is swallowed, the connection reset. */
+  /** Requests pass; the response is dropped and the connection reset. */
   "drop-answer",
   /** New connections are reset. */
   "refuse",
@@ -30,18 +30,18 @@
 export interface LinkChange {
   mode: LinkMode;
   delayMs?: number;
-  /** Back to `pass` after so many connections were hit; 0: never. */
+  /** Number of faults after which the mode returns to `pass`; 0: never. */
   hits?: number;
-  /** Pieces of an answer to let through before one is dropped. */
+  /** Chunks of a response that pass before one is dropped. */
   skip?: number;
 }
 
-interface Pair {
+interface SocketPair {
   client: net.Socket;
   server: net.Socket;
-  held: { to: net.Socket; data: Buffer }[];
-  /** Pieces of an answer that were let through in this mode. */
-  passed: number;
+  pending: { to: net.Socket; data: Buffer }[];
+  /** Response chunks counted in `drop-answer` since the mode was set. */
+  passedChunks: number;
 }
 
 export class FaultLink {
@@ -49,11 +49,11 @@
   private delayMs = 0;
   private hits = 0;
   private skip = 0;
-  private readonly pairs = new Set<Pair>();
+  private readonly pairs = new Set<SocketPair>();
   private readonly server = net.createServer((client) => this.accept(client));
   address = "";
 
-  /** `target`: where connections go; asked for each of them. */
+  /** `target` returns the upstream address; called for each connection. */
   constructor(private readonly target: () => string) {}
 
   async start(): Promise<this> {
@@ -70,9 +70,12 @@
     this.server.close();
   }
 
-  /** Pieces that are delayed or held back. */
+  /** Number of chunks that are delayed or held. */
   get pendingChunks(): number {
-    return [...this.pairs].reduce((sum, { held }) => sum + held.length, 0);
+    return [...this.pairs].reduce(
+      (sum, { pending }) => sum + pending.length,
+      0,
+    );
   }
 
   get connections(): number {
@@ -81,7 +84,7 @@
 
   set({ mode, delayMs = 0, hits = 0, skip = 0 }: LinkChange): void {
     Object.assign(this, { mode, delayMs, hits, skip });
-    for (const pair of this.pairs) pair.passed = 0;
+    for (const pair of this.pairs) pair.passedChunks = 0;
     if (mode === "cut" && hits === 0) {
       for (const pair of this.pairs) this.reset(pair);
     }
@@ -90,26 +93,26 @@
 
   private release(): void {
     for (const pair of this.pairs) {
-      for (const { to, data } of pair.held) to.write(data);
-      pair.held = [];
+      for (const { to, data } of pair.pending) to.write(data);
+      pair.pending = [];
     }
   }
 
-  /** Bytes keep their order: what is delayed goes before what comes later. */
-  private releaseFirst(pair: Pair): void {
+  /** Forwards the oldest chunk, so that delayed data keeps its order. */
+  private releaseOldest(pair: SocketPair): void {
     if (this.mode === "freeze") return;
-    const first = pair.held.shift();
+    const first = pair.pending.shift();
     if (first?.to.destroyed === false) first.to.write(first.data);
   }
 
   private accept(client: net.Socket): void {
     if (this.mode === "refuse") {
       client.resetAndDestroy();
-      return this.count();
+      return this.countHit();
     }
     const { host, port } = splitAddress(this.target());
     const server = net.connect(port, host);
-    const pair: Pair = { client, server, held: [], passed: 0 };
+    const pair: SocketPair = { client, server, pending: [], passedChunks: 0 };
     this.pairs.add(pair);
     const end = () => {
       client.destroy();
@@ -117,8 +120,8 @@
       this.pairs.delete(pair);
     };
     const reset = () => this.reset(pair);
-    // A reset that follows close behind data shows as a regular end whose
-    // peer has no address any more: it must leave as a reset, too.
+    // A reset that arrives right after data is reported as a regular end, but
+    // the socket has no remote address any more. It is forwarded as a reset.
     const onEnd = (socket: net.Socket) => () =>
       socket.remoteAddress === undefined && reset();
     client.on("data", (data) => this.relay(pair, data, server, false));
@@ -130,7 +133,7 @@
   }
 
   private relay(
-    pair: Pair,
+    pair: SocketPair,
     data: Buffer,
     to: net.Socket,
     isAnswer: boolean,
@@ -140,34 +143,34 @@
       case "refuse":
         return void to.write(data);
       case "delay":
-        pair.held.push({ to, data });
-        return void setTimeout(() => this.releaseFirst(pair), this.delayMs);
+        pair.pending.push({ to, data });
+        return void setTimeout(() => this.releaseOldest(pair), this.delayMs);
       case "freeze":
-        return void pair.held.push({ to, data });
+        return void pair.pending.push({ to, data });
       case "cut":
         this.reset(pair);
-        return this.count();
+        return this.countHit();
       case "half-open":
         return;
       case "one-way":
         return void (isAnswer && to.write(data));
       case "drop-answer":
         if (!isAnswer) return void to.write(data);
-        pair.passed += 1;
-        if (pair.passed <= this.skip) return void to.write(data);
+        pair.passedChunks += 1;
+        if (pair.passedChunks <= this.skip) return void to.write(data);
         this.reset(pair);
-        return this.count();
+        return this.countHit();
     }
   }
 
-  /** One connection was hit. */
-  private count(): void {
+  /** Counts a fault; after the last of `hits`, the mode returns to `pass`. */
+  private countHit(): void {
     if (this.hits === 0) return;
     this.hits -= 1;
     if (this.hits === 0) this.mode = "pass";
   }
 
-  private reset(pair: Pair): void {
+  private reset(pair: SocketPair): void {
     pair.client.resetAndDestroy();
     pair.server.resetAndDestroy();
     this.pairs.delete(pair);
--- a/standins/faultProxy.ts
+++ b/standins/faultProxy.ts
@@ -1,6 +1,6 @@
 /**
- * Fault-injecting TCP proxy as a process of its own. `POST /mode` on its
- * admin port sets what happens to bytes; see `faultLink.ts`.
+ * Runs the fault-injecting TCP proxy of `faultLink.ts` as a process of its
+ * own. `POST /mode` on its admin port sets the mode.
  */
 import { FaultLink } from "./faultLink.js";
 import type { LinkChange } from "./faultLink.js";
--- a/standins/objectApi.ts
+++ b/standins/objectApi.ts
@@ -1,20 +1,20 @@
 /**
- * Stand-in of the platform's object API: versions, conditional updates and
- * watches in memory. Faults are set by `POST /faults`.
+ * In-memory stand-in for the platform's object API, with versions, conditional
+ * updates and watches. `POST /faults` sets faults.
  */
 import { readOptions, reply, serve } from "./support.js";
 import type { Call } from "./support.js";
 
 interface Faults {
-  /** Every call is answered by 503. */
+  /** Every call is answered with 503. */
   down: boolean;
-  /** Calls hang without an answer. */
+  /** Calls get no response. */
   silent: boolean;
-  /** Added to each call, ms. */
+  /** Delay added to each call, ms. */
   delayMs: number;
-  /** So many writes take effect and lose their answer. */
+  /** Number of writes that take effect but get no response. */
   loseAnswers: number;
-  /** Reads show the state as it was when this was switched on. */
+  /** Reads return the state at the time when this was switched on. */
   staleReads: boolean;
 }
 
@@ -38,7 +38,7 @@
 
 const options = readOptions({ writesPerSecond: 400, readsPerSecond: 2000 });
 const objects = new Map<string, Stored>();
-let stale: Map<string, Stored> | undefined;
+let staleObjects: Map<string, Stored> | undefined;
 let revision = 0;
 const events: { kind: string; name: string; version: number }[] = [];
 let waiters: Waiter[] = [];
@@ -50,17 +50,19 @@
   staleReads: false,
 };
 const counters = { reads: 0, writes: 0, watches: 0, limited: 0 };
-let second = 0;
-let readsNow = 0;
-let writesNow = 0;
+let currentSecond = 0;
+let readsThisSecond = 0;
+let writesThisSecond = 0;
 
 const isLimited = (isWrite: boolean): boolean => {
   const now = Math.floor(Date.now() / 1000);
-  if (now !== second) [second, readsNow, writesNow] = [now, 0, 0];
-  if (isWrite) writesNow += 1;
-  else readsNow += 1;
+  if (now !== currentSecond)
+    [currentSecond, readsThisSecond, writesThisSecond] = [now, 0, 0];
+  if (isWrite) writesThisSecond += 1;
+  else readsThisSecond += 1;
   const isOver =
-    writesNow > options.writesPerSecond || readsNow > options.readsPerSecond;
+    writesThisSecond > options.writesPerSecond ||
+    readsThisSecond > options.readsPerSecond;
   if (isOver) counters.limited += 1;
   return isOver;
 };
@@ -121,7 +123,7 @@
 
 const read = ({ res }: Call, kind: string, name?: string): void => {
   counters.reads += 1;
-  const source = stale ?? objects;
+  const source = staleObjects ?? objects;
   if (name === undefined) {
     const items = [...source.values()].filter((item) => item.kind === kind);
     return reply(res, 200, { items, revision });
@@ -132,8 +134,8 @@
 
 const setFaults = ({ res, body }: Call): void => {
   faults = { ...faults, ...(JSON.parse(body.toString("utf8")) as Faults) };
-  if (!faults.staleReads) stale = undefined;
-  else stale ??= new Map(objects);
+  if (!faults.staleReads) staleObjects = undefined;
+  else staleObjects ??= new Map(objects);
   if (faults.down || faults.silent) {
     for (const waiter of waiters) waiter.res.destroy();
     waiters = [];
--- a/standins/plainService.ts
+++ b/standins/plainService.ts
@@ -1,21 +1,21 @@
 /**
- * Stand-in of a plain service. Each call is recorded when it starts to run;
- * `GET /admin/record` shows what ran, so that a test can compare it with
- * what callers were told.
+ * Stand-in for a plain service. Each call is recorded when it starts to run;
+ * `GET /admin/record` returns the record, so that a test can compare it with
+ * the responses that callers received.
  */
 import { readOptions, reply, serve } from "./support.js";
 import type { Call } from "./support.js";
 
 interface Faults {
-  /** So many answers carry another request's id. */
+  /** Number of responses that carry another request's id. */
   cross: number;
-  /** So many answers are cut in the middle. */
+  /** Number of responses that are cut in the middle of the body. */
   cut: number;
-  /** So many requests run and then lose their connection. */
+  /** Number of requests whose connection is closed after they ran. */
   dropAfterRun: number;
-  /** Time that each call takes, ms. */
+  /** Duration of each call, ms. */
   delayMs: number;
-  /** The process ends after its next run, before it answers. */
+  /** Whether the process exits when the next call has been recorded. */
   dieAfterRun: boolean;
 }
 
@@ -37,7 +37,7 @@
 const runs: Run[] = [];
 let active = 0;
 
-const pause = (durationMs: number): Promise<void> =>
+const delay = (durationMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, durationMs));
 
 const run = async ({ req, res, url, body }: Call): Promise<void> => {
@@ -47,7 +47,7 @@
   runs.push({ requestId, key, path: url.pathname, body: text });
   if (faults.dieAfterRun) process.exit(1);
   active += 1;
-  await pause(Number(url.searchParams.get("delayMs") ?? faults.delayMs));
+  await delay(Number(url.searchParams.get("delayMs") ?? faults.delayMs));
   active -= 1;
   if (faults.dropAfterRun > 0) {
     faults.dropAfterRun -= 1;
@@ -61,10 +61,10 @@
   }
   const isCrossed = faults.cross > 0;
   if (isCrossed) faults.cross -= 1;
-  const echoed = isCrossed ? "some-other-request" : requestId;
+  const responseId = isCrossed ? "some-other-request" : requestId;
   const echo = isCrossed ? '{"of":"another"}' : text;
-  const answer = { answerTo: echoed, path: url.pathname, echo };
-  reply(res, 200, answer, { "x-request-id": echoed });
+  const answer = { answerTo: responseId, path: url.pathname, echo };
+  reply(res, 200, answer, { "x-request-id": responseId });
 };
 
 await serve(async (call) => {
--- a/standins/support.ts
+++ b/standins/support.ts
@@ -1,18 +1,18 @@
-/** What the stand-ins share: options, a server, and their first line. */
+/** Helpers for stand-in processes: options, HTTP server, responses. */
 import http from "node:http";
 
 import { listen, readBody } from "../src/http/index.js";
 
-const MAX_BODY = 16 * 1024 * 1024;
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-/** Options come as one JSON argument. */
+/** Reads options from the first command line argument, a JSON object. */
 export const readOptions = <T extends object>(defaults: T): T => {
   const text = process.argv[2];
   const given = text === undefined ? {} : (JSON.parse(text) as Partial<T>);
   return { ...defaults, ...given };
 };
 
-/** One request with its body read. */
+/** A request whose body has been read. */
 export interface Call {
   req: http.IncomingMessage;
   res: http.ServerResponse;
@@ -21,6 +21,7 @@
   body: Buffer;
 }
 
+/** Sends a JSON response, unless the connection is closed. */
 export const reply = (
   res: http.ServerResponse,
   status: number,
@@ -37,7 +38,10 @@
   res.end(text);
 };
 
-/** Serves on a port of the system's choice and prints the address. */
+/**
+ * Serves on the address, by default a free port, and prints the bound address
+ * as a JSON line. If `handle` throws, the connection is closed.
+ */
 export const serve = async (
   handle: (call: Call) => Promise<void> | void,
   address = "127.0.0.1:0",
@@ -47,7 +51,7 @@
     res: http.ServerResponse,
   ) => {
     try {
-      const body = await readBody(req, MAX_BODY);
+      const body = await readBody(req, MAX_BODY_BYTES);
       const url = new URL(req.url ?? "/", "http://localhost");
       await handle({ req, res, method: req.method ?? "GET", url, body });
     } catch {
@@ -56,7 +60,7 @@
   };
   const server = http.createServer((req, res) => void onRequest(req, res));
   server.keepAliveTimeout = 60_000;
-  const at = await listen(server, address);
-  process.stdout.write(`${JSON.stringify({ listening: at })}\n`);
+  const listenAddress = await listen(server, address);
+  process.stdout.write(`${JSON.stringify({ listening: listenAddress })}\n`);
   return server;
 };
--- a/standins/vmList.ts
+++ b/standins/vmList.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's VM list. `PUT /vms` sets what it will show. */
+/** Stand-in for the platform's VM list. `PUT /vms` replaces the list. */
 import { readOptions, reply, serve } from "./support.js";
 
 const options = readOptions({ vms: [] as unknown[] });
--- a/standins/weightStore.ts
+++ b/standins/weightStore.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the weight store: a model's weights take time, and only so
- * many downloads go at once.
+ * Stand-in for the weight store: each download takes `downloadMs`, and at most
+ * `atOnce` run concurrently.
  */
 import { readOptions, reply, serve } from "./support.js";
 
@@ -8,7 +8,7 @@
 let running = 0;
 const waiting: (() => void)[] = [];
 
-const next = (): void => {
+const startNext = (): void => {
   if (running >= options.atOnce) return;
   const start = waiting.shift();
   if (start === undefined) return;
@@ -21,8 +21,8 @@
     setTimeout(() => {
       running -= 1;
       reply(res, 200, { weights: url.pathname });
-      next();
+      startNext();
     }, options.downloadMs);
   });
-  next();
+  startNext();
 });
