--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -3,10 +3,13 @@
 
 import {
   addedPrefix,
-  answerNames,
+  responseIds,
   callHeaders,
 } from "../platform/standins/caller.js";
-import { longPrompt, shortPrompt } from "../platform/standins/deployment.js";
+import {
+  longPromptHeaders,
+  shortPromptHeaders,
+} from "../platform/standins/deployment.js";
 import type { Rng } from "../src/shared/rng.js";
 import { DEADLINE_MS } from "./checks.js";
 import { drawOne } from "./draw.js";
@@ -131,7 +134,8 @@
     const id = `${this.name}-${this.sequence}`;
     const kind = drawOne(CALL_KINDS, this.rng) ?? "safe";
     const isStream = IS_STREAM[kind];
-    const prompt = this.rng() < 0.5 ? longPrompt() : shortPrompt();
+    const prompt =
+      this.rng() < 0.5 ? longPromptHeaders() : shortPromptHeaders();
     const headers = {
       ...callHeaders(id, DEADLINE_MS),
       ...(isStream ? prompt : {}),
@@ -141,7 +145,7 @@
     const target = PATHS[kind];
     const answer = await sendRequest(this.agent, address, target, headers, now);
     const { status, headAt, isWhole, body } = answer;
-    const names = answerNames(answer.headers);
+    const names = responseIds(answer.headers);
     records.calls.push({
       id,
       kind,
@@ -191,7 +195,7 @@
           now,
         );
         const { status, headAt } = answer;
-        const { signedBy } = answerNames(answer.headers);
+        const { signedBy } = responseIds(answer.headers);
         const endedAt = now();
         fleet.records.probes.push({
           id,
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -3,8 +3,8 @@
  * leaving. The record of the caller tells which entry sent a request. Pure
  * functions from records to violations.
  */
-import { judgeRate } from "../platform/standins/rateJudge.js";
-import type { ToldSignals } from "../platform/standins/replica.js";
+import { findRateBreaches } from "../platform/standins/rateJudge.js";
+import type { AnnouncedSignals } from "../platform/standins/replica.js";
 import type {
   ArrivalRecord,
   SoakRecords,
@@ -128,7 +128,7 @@
 /** When the replica first sent the signal to each entry process. */
 const firstSignalled = (
   sent: readonly SentRequest[],
-  matches: (signals: ToldSignals) => boolean,
+  matches: (signals: AnnouncedSignals) => boolean,
 ): Map<string, number> => {
   const firstAt = new Map<string, number>();
   for (const { entry, at, told: signals } of sent) {
@@ -144,14 +144,14 @@
     const arrivals = sent
       .filter((item) => !isExempt(records, item))
       .map((item) => ({ ...item, at: earliestAt(records.stalls, item.at) }));
-    const [first] = judgeRate({ arrivals, named, told }, RATE_BOUNDS);
+    const [first] = findRateBreaches({ arrivals, named, told }, RATE_BOUNDS);
     if (first === undefined) return [];
     const { at, got, allowed } = first;
     const what = `${replica} got ${got} of ${allowed} from ${Math.round(at)}`;
     return [{ promise: "no more than a replica takes", what }];
   });
 
-const backOffMs = ({ backOff }: ToldSignals): number =>
+const backOffMs = ({ backOff }: AnnouncedSignals): number =>
   backOff !== undefined && SECONDS.test(backOff)
     ? Number(backOff) * MS_PER_SECOND
     : 0;
--- a/soak/types.ts
+++ b/soak/types.ts
@@ -1,5 +1,5 @@
 /** Records that a soak run collects, and the violations found in them. */
-import type { ToldSignals } from "../platform/standins/replica.js";
+import type { AnnouncedSignals } from "../platform/standins/replica.js";
 
 /** Kinds of request that callers send: plain requests and streams. */
 export const CALL_KINDS = ["safe", "unsafe", "resumable", "draft"] as const;
@@ -75,7 +75,7 @@
   requestId: string;
   replica: string;
   at: number;
-  told: ToldSignals;
+  told: AnnouncedSignals;
 }
 
 /**
