--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -7,10 +7,10 @@
 import type { OperatorAnswer } from "../operator/operatorServer.js";
 import { readText } from "../settings/index.js";
 import { errText } from "../shared/utils.js";
-import { askEntry } from "./operatorClient.js";
+import { sendToEntry } from "./operatorClient.js";
 import type { OperatorTarget } from "./operatorClient.js";
 import { renderSyntax, renderTable } from "./render.js";
-import { parseLog, renderStory, storyOf } from "./requestStory.js";
+import { buildStory, parseLog, renderStory } from "./requestStory.js";
 
 /** Exit codes that scripts can rely on. */
 const EXIT = {
@@ -46,7 +46,8 @@
 };
 
 const print = (text: string): void => void process.stdout.write(`${text}\n`);
-const complain = (text: string): void => void process.stderr.write(`${text}\n`);
+const printError = (text: string): void =>
+  void process.stderr.write(`${text}\n`);
 
 /** Shows an answer and gives the exit code that it stands for. */
 const show = (
@@ -63,35 +64,35 @@
       if (!isJson) print(answer.text);
       return EXIT.ok;
     case "refused":
-      complain(answer.text);
+      printError(answer.text);
       return EXIT.refused;
     case "syntax":
-      complain(renderSyntax(statement, answer.text, answer.at));
+      printError(renderSyntax(statement, answer.text, answer.at));
       return EXIT.usage;
     case "unauthorized":
-      complain(answer.text);
+      printError(answer.text);
       return EXIT.unauthorized;
     case "failed":
-      complain(answer.text);
+      printError(answer.text);
       return EXIT.unreachable;
   }
 };
 
-const end = async (work: () => Promise<number>): Promise<void> => {
+const runCommand = async (work: () => Promise<number>): Promise<void> => {
   try {
     process.exitCode = await work();
   } catch (err) {
-    complain(`snowgate: ${errText(err)}`);
+    printError(`snowgate: ${errText(err)}`);
     const isUsage = err instanceof TypeError;
     process.exitCode = isUsage ? EXIT.usage : EXIT.unreachable;
   }
 };
 
 const runStatement = (words: string[], flags: Flags) =>
-  end(async () => {
+  runCommand(async () => {
     const statement = words.join(" ");
     if (statement === "") throw new TypeError("a statement is needed");
-    const answer = await askEntry(targetOf(flags), "/command", statement);
+    const answer = await sendToEntry(targetOf(flags), "/command", statement);
     return show(answer, statement, flags.json ?? false);
   });
 
@@ -105,23 +106,23 @@
 };
 
 const runApply = (file: string, flags: Flags) =>
-  end(async () => {
+  runCommand(async () => {
     const text = readFile(file);
-    const answer = await askEntry(targetOf(flags), "/config", text);
+    const answer = await sendToEntry(targetOf(flags), "/config", text);
     if (answer.kind !== "syntax") {
       return show(answer, "", flags.json ?? false);
     }
-    complain(answer.text.replaceAll("configuration:", `${file}:`));
+    printError(answer.text.replaceAll("configuration:", `${file}:`));
     return EXIT.usage;
   });
 
 /** Waits until the newest order of an upstream is finished. */
 const runWatch = (upstream: string, flags: Flags) =>
-  end(async () => {
+  runCommand(async () => {
     const target = targetOf(flags);
     const statement = `show engines where upstream = ${upstream}`;
     for (;;) {
-      const answer = await askEntry(target, "/command", statement);
+      const answer = await sendToEntry(target, "/command", statement);
       if (answer.kind !== "table") return show(answer, statement, false);
       const [row] = answer.rows;
       if (row === undefined) throw new TypeError(`no upstream ${upstream}`);
@@ -136,15 +137,15 @@
 
 /** Joins log files of several processes into the story of one request. */
 const runStory = (requestId: string, files: string[], flags: Flags) =>
-  end(async () => {
+  runCommand(async () => {
     if (files.length === 0) throw new TypeError("a log file is needed");
     const logs = files.map((file) => parseLog(readFile(file)));
     const lines = logs.flatMap((log) => log.lines);
     const unreadable = logs.reduce((sum, log) => sum + log.unreadable, 0);
-    if (unreadable > 0) complain(`${unreadable} lines can't be read`);
-    const story = storyOf(lines, requestId);
+    if (unreadable > 0) printError(`${unreadable} lines can't be read`);
+    const story = buildStory(lines, requestId);
     if (story.own.length === 0) {
-      complain(`no line names request ${requestId}`);
+      printError(`no line names request ${requestId}`);
       return EXIT.refused;
     }
     print(flags.json ? JSON.stringify(story) : renderStory(story));
@@ -187,6 +188,6 @@
 try {
   cli.parse();
 } catch (err) {
-  complain(`snowgate: ${errText(err)}`);
+  printError(`snowgate: ${errText(err)}`);
   process.exitCode = EXIT.usage;
 }
--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -12,7 +12,7 @@
 }
 
 /** Sends a statement or a configuration; rejects where nobody answers. */
-export const askEntry = async (
+export const sendToEntry = async (
   target: OperatorTarget,
   path: "/command" | "/config",
   text: string,
--- a/src/cli/requestStory.ts
+++ b/src/cli/requestStory.ts
@@ -112,7 +112,7 @@
     typeof text === "string" ? text.split(",") : [],
   );
 
-export const storyOf = (
+export const buildStory = (
   lines: readonly LogLine[],
   requestId: string,
 ): RequestStory => {
--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -11,20 +11,20 @@
 import { passedHeaders } from "../http/index.js";
 import type { Metrics } from "../telemetry/index.js";
 import type { AttemptResult, Fault, SideClient } from "./sideClient.js";
-import type { StreamRelay } from "./streamAnswer.js";
+import type { StreamRelay } from "./streamRelay.js";
 import type { CallerRequest } from "./types.js";
-import { readWhole } from "./wholeAnswer.js";
-import type { WholeAnswer } from "./wholeAnswer.js";
+import { readWholeResponse } from "./wholeResponse.js";
+import type { WholeResponse } from "./wholeResponse.js";
 
-const CONNECT_MS = 500;
+const CONNECT_TIMEOUT_MS = 500;
 const EVENT_STREAM = "text/event-stream";
 const HTTP_NOT_FOUND = 404;
 const HTTP_SERVER_ERROR = 500;
 
 /** What an attempt came to, after its answer was read. */
-export type AttemptEnd =
+export type AttemptOutcome =
   | { kind: "answered" }
-  | { kind: "whole"; answer: WholeAnswer }
+  | { kind: "whole"; answer: WholeResponse }
   | { kind: "failed"; failure: RequestFailure; fault: Fault }
   | { kind: "caller-gone" };
 
@@ -39,7 +39,7 @@
 }
 
 /** One attempt and what it goes with. */
-export interface AttemptOrder {
+export interface AttemptOptions {
   request: CallerRequest;
   choice: Choice;
   route: RouteRequest;
@@ -51,12 +51,12 @@
 }
 
 /** What an engine answers when it has read a prompt for another. */
-const kvAnswerSchema = z.object({ kv: z.object({ url: z.string() }) });
+const kvExportResponseSchema = z.object({ kv: z.object({ url: z.string() }) });
 
 export class AttemptRunner {
   constructor(private readonly options: AttemptRunnerOptions) {}
 
-  async run(order: AttemptOrder): Promise<AttemptEnd> {
+  async run(order: AttemptOptions): Promise<AttemptOutcome> {
     const { router, client, now } = this.options;
     const { request, choice, route, signal, relay } = order;
     const { id } = choice.upstream;
@@ -66,14 +66,14 @@
         address: choice.upstream.dataAddress,
         method: request.req.method ?? "GET",
         path: request.req.url ?? "/",
-        headers: this.headersFor(order),
+        headers: this.requestHeaders(order),
         body: request.plan.body,
-        connectMs: CONNECT_MS,
+        connectTimeoutMs: CONNECT_TIMEOUT_MS,
         timeoutMs: Math.max(1, route.deadlineAt - now()),
         signal,
       });
-      const end = await this.readAnswer(request, result, relay);
-      this.learn(id, end);
+      const end = await this.readResponse(request, result, relay);
+      this.recordOutcome(id, end);
       if (end.kind === "failed") router.onPromptNotCached(id, fresh);
       return end;
     } finally {
@@ -82,7 +82,7 @@
   }
 
   /** Has a prompt read; gives the place of its KV cache, if that worked. */
-  async readPrompt(order: AttemptOrder): Promise<string | undefined> {
+  async readPrompt(order: AttemptOptions): Promise<string | undefined> {
     const { router, client, now, maxAnswerBytes } = this.options;
     const { request, choice, route, signal } = order;
     const { id } = choice.upstream;
@@ -92,17 +92,20 @@
         address: choice.upstream.dataAddress,
         method: "POST",
         path: request.req.url ?? "/",
-        headers: { ...this.headersFor(order), [HEADERS.kvExport]: "export" },
+        headers: {
+          ...this.requestHeaders(order),
+          [HEADERS.kvExport]: "export",
+        },
         body: request.plan.body,
-        connectMs: CONNECT_MS,
+        connectTimeoutMs: CONNECT_TIMEOUT_MS,
         timeoutMs: Math.max(1, route.deadlineAt - now()),
         signal,
       });
-      const end = await this.readAnswer(request, result, undefined);
-      this.learn(id, end);
+      const end = await this.readResponse(request, result, undefined);
+      this.recordOutcome(id, end);
       if (end.kind !== "whole") return undefined;
       const text = end.answer.body.toString("utf8").slice(0, maxAnswerBytes);
-      const parsed = kvAnswerSchema.safeParse(JSON.parse(text));
+      const parsed = kvExportResponseSchema.safeParse(JSON.parse(text));
       return parsed.success ? parsed.data.kv.url : undefined;
     } catch {
       return undefined;
@@ -111,11 +114,11 @@
     }
   }
 
-  private headersFor(order: AttemptOrder): http.OutgoingHttpHeaders {
+  private requestHeaders(order: AttemptOptions): http.OutgoingHttpHeaders {
     const { request, choice, route, relay } = order;
     const { plan, id, req } = request;
-    const resume: Record<string, string> = relay?.tokens
-      ? { [HEADERS.resumeFrom]: String(relay.tokens) }
+    const resume: Record<string, string> = relay?.sentTokens
+      ? { [HEADERS.resumeFrom]: String(relay.sentTokens) }
       : {};
     return {
       ...passedHeaders(req.headers, () => false),
@@ -135,11 +138,11 @@
     };
   }
 
-  private async readAnswer(
+  private async readResponse(
     request: CallerRequest,
     result: AttemptResult,
     relay: StreamRelay | undefined,
-  ): Promise<AttemptEnd> {
+  ): Promise<AttemptOutcome> {
     if (result.kind === "failure") {
       return { kind: "failed", failure: result.failure, fault: result.fault };
     }
@@ -148,26 +151,26 @@
     if (relay !== undefined && type.startsWith(EVENT_STREAM)) {
       return this.readStream(request, res, relay);
     }
-    const whole = await readWhole(res, this.options.maxAnswerBytes);
+    const whole = await readWholeResponse(res, this.options.maxAnswerBytes);
     if (whole.kind === "failure") {
       return { kind: "failed", failure: whole.failure, fault: "failing" };
     }
-    return this.checkWhole(request, whole.answer, relay);
+    return this.classifyResponse(request, whole.answer, relay);
   }
 
   /** An upstream's own failure may be tried elsewhere, where that is safe. */
-  private checkWhole(
+  private classifyResponse(
     request: CallerRequest,
-    answer: WholeAnswer,
+    answer: WholeResponse,
     relay: StreamRelay | undefined,
-  ): AttemptEnd {
+  ): AttemptOutcome {
     const { requestClass, service } = request.plan;
     // An engine that has not loaded the model yet: another one may have.
     const isNotLoaded =
       service.kind === "model" && answer.status === HTTP_NOT_FOUND;
     const isFault = answer.status >= HTTP_SERVER_ERROR;
     const isRepeatable = isFault && requestClass.repeat === "safe";
-    const isPassedOn = !isNotLoaded && !isRepeatable && !relay?.hasBegun;
+    const isPassedOn = !isNotLoaded && !isRepeatable && !relay?.isStarted;
     if (isPassedOn) return { kind: "whole", answer };
     const failure: RequestFailure = {
       status: 502,
@@ -183,13 +186,13 @@
     request: CallerRequest,
     res: http.IncomingMessage,
     relay: StreamRelay,
-  ): Promise<AttemptEnd> {
-    relay.begin({
+  ): Promise<AttemptOutcome> {
+    relay.start({
       ...passedHeaders(res.headers, () => false),
       [HEADERS.requestId]: request.id,
       "cache-control": "no-cache",
     });
-    const end = await relay.pump(res);
+    const end = await relay.relayEvents(res);
     switch (end.kind) {
       case "done":
         return { kind: "answered" };
@@ -207,7 +210,7 @@
     }
   }
 
-  private learn(upstream: string, end: AttemptEnd): void {
+  private recordOutcome(upstream: string, end: AttemptOutcome): void {
     const { router, now } = this.options;
     switch (end.kind) {
       case "answered":
@@ -216,11 +219,11 @@
       case "caller-gone":
         return;
       case "failed":
-        return this.learnFault(upstream, end.failure, end.fault);
+        return this.recordFault(upstream, end.failure, end.fault);
     }
   }
 
-  private learnFault(
+  private recordFault(
     upstream: string,
     failure: RequestFailure,
     fault: Fault,
--- a/src/entry/callerFailure.ts
+++ b/src/entry/callerFailure.ts
@@ -6,7 +6,7 @@
 import type { Verdict } from "../shared/verdict.js";
 
 const NO_UPSTREAM_RETRY_MS = 500;
-const START_RETRY_MS = 1000;
+const NO_CONFIGURATION_RETRY_MS = 1000;
 
 export const deadlineFailure = (verdict: Verdict): RequestFailure => ({
   status: 504,
@@ -15,7 +15,7 @@
   verdict,
 });
 
-export const noUpstream = (verdict: Verdict): RequestFailure => ({
+export const noUpstreamFailure = (verdict: Verdict): RequestFailure => ({
   status: 503,
   code: "no_upstream",
   message: "no upstream of the service takes work now",
@@ -23,15 +23,15 @@
   retryAfterMs: NO_UPSTREAM_RETRY_MS,
 });
 
-export const noConfiguration = (): RequestFailure => ({
+export const noConfigurationFailure = (): RequestFailure => ({
   status: 503,
   code: "no_configuration",
   message: "this entry has no configuration yet",
   verdict: "not-run",
-  retryAfterMs: START_RETRY_MS,
+  retryAfterMs: NO_CONFIGURATION_RETRY_MS,
 });
 
-export const bodyTooLarge = (message: string): RequestFailure => ({
+export const bodyTooLargeFailure = (message: string): RequestFailure => ({
   status: 413,
   code: "body_too_large",
   message,
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -7,8 +7,8 @@
 import type { EntrySettings } from "../settings/index.js";
 import type { Log } from "../telemetry/index.js";
 import {
-  bodyTooLarge,
-  noConfiguration,
+  bodyTooLargeFailure,
+  noConfigurationFailure,
   sendCallerFailure,
 } from "./callerFailure.js";
 import { newRequestId } from "./requestFlow.js";
@@ -56,7 +56,7 @@
   }
 
   /** Closes the listener and resolves when nothing is in flight. */
-  finish(): Promise<void> {
+  closeWhenIdle(): Promise<void> {
     this.server.close();
     this.server.closeIdleConnections();
     if (this.inFlight === 0) return Promise.resolve();
@@ -79,7 +79,7 @@
     try {
       await this.serve(req, res, path, id);
     } catch (err) {
-      this.onThrow(res, id, err);
+      this.onRequestError(res, id, err);
     }
   }
 
@@ -97,7 +97,7 @@
     const arrivedAt = this.options.now();
     const state = this.options.config();
     if (state === undefined) {
-      return sendCallerFailure(res, id, noConfiguration());
+      return sendCallerFailure(res, id, noConfigurationFailure());
     }
     if (path === "/v1/models" && req.method === "GET") {
       return sendJson(res, 200, modelList(state));
@@ -117,10 +117,14 @@
     await this.options.flow.run(request);
   }
 
-  private onThrow(res: http.ServerResponse, id: string, err: unknown): void {
+  private onRequestError(
+    res: http.ServerResponse,
+    id: string,
+    err: unknown,
+  ): void {
     if (err instanceof BodyTooLargeError) {
       res.setHeader("connection", "close");
-      return sendCallerFailure(res, id, bodyTooLarge(err.message));
+      return sendCallerFailure(res, id, bodyTooLargeFailure(err.message));
     }
     this.options.log.error("request threw", {
       requestId: id,
--- a/src/entry/controlLoop.ts
+++ b/src/entry/controlLoop.ts
@@ -26,12 +26,12 @@
 import type { PeerLink } from "../peers/index.js";
 import { updateTokenRates, planRole } from "../roles/index.js";
 import type { TokenRates, EngineReport, RolePlan } from "../roles/index.js";
-import { restoreReport } from "../side/sideReport.js";
+import { parseSideReport } from "../side/sideReport.js";
 import type { SideReport } from "../side/sideReport.js";
 import type { Log } from "../telemetry/index.js";
 
 /** How long a role change is taken to keep an engine away, ms. */
-const AWAY_MS = 5000;
+const ROLE_CHANGE_MS = 5000;
 const REPORT_PERIOD_MS = 2000;
 
 /** What the loop asks of sides. */
@@ -49,7 +49,7 @@
 
 export class ControlLoop {
   private lease: LeaseState = NO_LEASE;
-  private readonly demand = new Map<string, TokenRates>();
+  private readonly tokenRates = new Map<string, TokenRates>();
   private readonly reports = new Map<string, SideReport>();
   private lastReportAt = -Infinity;
   /** The newest decision about roles, for `explain`. */
@@ -71,15 +71,15 @@
     const { control, self, leaseMs, now } = this.options;
     const read = await control.readControl(service.name);
     this.lease = observeLease(this.lease, read.value.lease, self, now());
-    const current = await this.keepLease(service.name, read);
+    const current = await this.maintainLease(service.name, read);
     if (current === undefined) return;
     if (!isLeaseHeld(this.lease, self, leaseMs, now())) return;
-    await this.remind(service, current.value);
+    await this.notifyPendingOrders(service, current.value);
     await this.planRoles(service, current);
   }
 
   /** The record if this process holds the lease, else undefined. */
-  private async keepLease(
+  private async maintainLease(
     service: string,
     read: Versioned<ControlRecord>,
   ): Promise<Versioned<ControlRecord> | undefined> {
@@ -101,7 +101,10 @@
     return { value: next, version };
   }
 
-  private async remind(service: Service, record: ControlRecord): Promise<void> {
+  private async notifyPendingOrders(
+    service: Service,
+    record: ControlRecord,
+  ): Promise<void> {
     const { control, link, log } = this.options;
     for (const upstream of service.upstreams) {
       const desired = record.desired[upstream.id];
@@ -124,13 +127,13 @@
     if (service.kind !== "model") return;
     if (now() - this.lastReportAt < REPORT_PERIOD_MS) return;
     this.lastReportAt = now();
-    await this.askSides(service);
+    await this.fetchReports(service);
     const { roleChangedAt } = current.value;
     this.lastPlan = planRole({
       service,
       engines: this.engineReports(service),
       sinceChangeMs: wallClock() - roleChangedAt,
-      roleChangeMs: AWAY_MS,
+      roleChangeMs: ROLE_CHANGE_MS,
     });
     if (this.lastPlan.kind === "keep" || !this.isHolder) return;
     const { upstream, role, why } = this.lastPlan;
@@ -154,16 +157,16 @@
       log.info("role change ordered", { upstream, why });
   }
 
-  private async askSides(service: Service): Promise<void> {
+  private async fetchReports(service: Service): Promise<void> {
     const { link, now } = this.options;
     await Promise.all(
       service.upstreams.map(async ({ id, peerAddress }) => {
         try {
           const { json } = await link.report(peerAddress);
-          const report = restoreReport(json);
+          const report = parseSideReport(json);
           this.reports.set(id, report);
-          const next = updateTokenRates(this.demand.get(id), report, now());
-          this.demand.set(id, next);
+          const next = updateTokenRates(this.tokenRates.get(id), report, now());
+          this.tokenRates.set(id, next);
         } catch {
           this.reports.delete(id);
         }
@@ -176,7 +179,7 @@
     const found: EngineReport[] = [];
     for (const { id } of service.upstreams) {
       const report = this.reports.get(id);
-      const demand = this.demand.get(id);
+      const demand = this.tokenRates.get(id);
       if (report === undefined || demand === undefined) continue;
       found.push({
         upstream: id,
--- a/src/entry/controlLoops.ts
+++ b/src/entry/controlLoops.ts
@@ -8,7 +8,7 @@
 import type { ControlLoopOptions } from "./controlLoop.js";
 
 /** Entries that try for one service's lease; the others do not read it. */
-const CANDIDATES = 3;
+const LEASE_CANDIDATES = 3;
 
 export class ControlLoops {
   private readonly loops = new Map<string, ControlLoop>();
@@ -53,7 +53,7 @@
   private isCandidate(service: string): boolean {
     const { self } = this.membership;
     if (self.state !== "alive") return false;
-    return this.entries.isSelfRanked(`lease/${service}`, CANDIDATES);
+    return this.entries.isSelfRanked(`lease/${service}`, LEASE_CANDIDATES);
   }
 
   private loopOf(service: string): ControlLoop {
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -28,7 +28,7 @@
 /** Entries of a failure domain that read the VM list. */
 const VM_LIST_READERS = 2;
 
-const pauseFor = (durationMs: number): Promise<void> =>
+const sleep = (durationMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, durationMs));
 
 export const startEntry = async (
@@ -44,7 +44,7 @@
   peerServer.answer(gossip);
   const client = createSideClient(runtime, router, membership, gossip);
   const callers = createCallerServer(runtime, settings, router, client);
-  const operators = createOperators(runtime, settings, router, membership);
+  const operators = createOperatorServer(runtime, settings, router, membership);
   followMembers(membership, router, now);
   keeper.onChange(({ config }) => {
     const ids = config.services.flatMap((item) =>
@@ -63,8 +63,8 @@
       callers.startLeaving();
       membership.announce("leaving");
       void gossip.spread();
-      await pauseFor(settings.lameDuckMs);
-      await callers.finish();
+      await sleep(settings.lameDuckMs);
+      await callers.closeWhenIdle();
       operators.server.close();
       operators.server.closeAllConnections();
       supervisor.stop();
@@ -120,7 +120,7 @@
 };
 
 /** Control loops, and the server that operators' commands come to. */
-const createOperators = (
+const createOperatorServer = (
   runtime: Runtime,
   settings: EntrySettings,
   router: Router,
--- a/src/entry/requestFlow.ts
+++ b/src/entry/requestFlow.ts
@@ -21,15 +21,15 @@
 import type { AttemptRunner } from "./attemptRunner.js";
 import {
   deadlineFailure,
-  noUpstream,
+  noUpstreamFailure,
   sendCallerFailure,
 } from "./callerFailure.js";
 import type { RequestPlan } from "./requestPlan.js";
-import { StreamRelay } from "./streamAnswer.js";
+import { StreamRelay } from "./streamRelay.js";
 import type { CallerRequest } from "./types.js";
-import type { WholeAnswer } from "./wholeAnswer.js";
+import type { WholeResponse } from "./wholeResponse.js";
 
-export interface FlowOptions {
+export interface RequestFlowOptions {
   router: Router;
   attempts: AttemptRunner;
   claims: Claims;
@@ -39,12 +39,12 @@
 }
 
 /** Shorter prompts are read where their output is produced. */
-const LEAST_KV_TOKENS = 1024;
+const MIN_KV_PROMPT_TOKENS = 1024;
 /** Shorter outputs are not worth a second engine. */
-const LEAST_KV_OUTPUT = 8;
+const MIN_KV_OUTPUT_TOKENS = 8;
 
 /** The route of a request whose prompt has been read by another engine. */
-const decodeOnly = (route: RouteRequest): RouteRequest => ({
+const toDecodeRoute = (route: RouteRequest): RouteRequest => ({
   ...route,
   phase: "decode",
   promptTokens: 0,
@@ -55,7 +55,7 @@
 export class RequestFlow {
   private readonly budgets = new Map<string, TokenBucket>();
 
-  constructor(private readonly options: FlowOptions) {}
+  constructor(private readonly options: RequestFlowOptions) {}
 
   async run(request: CallerRequest): Promise<void> {
     const { plan, res } = request;
@@ -68,7 +68,7 @@
       if (answer.kind === "replay") return this.replay(request, answer.answer);
     }
     const controller = new AbortController();
-    const deadlineAt = request.arrivedAt + plan.budgetMs;
+    const deadlineAt = request.arrivedAt + plan.timeoutMs;
     const left = Math.max(0, deadlineAt - this.options.now());
     const timer = setTimeout(() => controller.abort(), left);
     // A never-repeat request is not given up with its caller: its answer is
@@ -93,13 +93,13 @@
       [HEADERS.requestId]: request.id,
     });
     request.res.end(kept.body);
-    this.note(request, "replayed");
+    this.recordOutcome(request, "replayed");
   }
 
   /** Answers with a failure and its verdict. */
   fail(request: CallerRequest, failure: RequestFailure): void {
     sendCallerFailure(request.res, request.id, failure);
-    this.note(request, failure.code, failure);
+    this.recordOutcome(request, failure.code, failure);
   }
 
   private claimOf(request: CallerRequest): ClaimRequest | undefined {
@@ -108,7 +108,7 @@
     return {
       service: plan.service.name,
       key: plan.idempotencyKey ?? id,
-      print: plan.print,
+      print: plan.fingerprint,
       requestId: id,
     };
   }
@@ -124,15 +124,15 @@
     const tried = new Set<string>();
     let verdict: Verdict = "not-run";
     let attempts = 0;
-    this.earn(plan.service.name);
-    const kvUrl = await this.readElsewhere(request, deadlineAt, signal);
+    this.creditBudget(plan.service.name);
+    const kvUrl = await this.prefillElsewhere(request, deadlineAt, signal);
     for (;;) {
       const whole = this.routeOf(plan, deadlineAt, tried);
       const isFirst = attempts === 0 && kvUrl !== undefined;
-      const route = isFirst ? decodeOnly(whole) : whole;
+      const route = isFirst ? toDecodeRoute(whole) : whole;
       const choice = this.choose(route) ?? this.choose(whole);
       if (choice === undefined) {
-        return this.giveUp(request, noUpstream(verdict), relay, claim);
+        return this.giveUp(request, noUpstreamFailure(verdict), relay, claim);
       }
       attempts += 1;
       tried.add(choice.upstream.id);
@@ -144,15 +144,17 @@
         relay,
         kvUrl: isFirst ? kvUrl : undefined,
       });
-      if (end.kind === "answered") return this.note(request, "answered");
+      if (end.kind === "answered")
+        return this.recordOutcome(request, "answered");
       if (end.kind === "whole") {
         return this.answer(request, end.answer, claim);
       }
-      if (end.kind === "caller-gone") return this.note(request, "caller_gone");
+      if (end.kind === "caller-gone")
+        return this.recordOutcome(request, "caller_gone");
       verdict = worseVerdict(verdict, end.failure.verdict);
       const failure = { ...end.failure, verdict };
       if (request.res.destroyed && claim === undefined) {
-        return this.note(request, "caller_gone");
+        return this.recordOutcome(request, "caller_gone");
       }
       if (signal.aborted) {
         const late = deadlineFailure(verdict);
@@ -177,20 +179,21 @@
    * read by one of the first; its KV cache goes from engine to engine. Any
    * failure here costs time only: the request goes on as a whole.
    */
-  private async readElsewhere(
+  private async prefillElsewhere(
     request: CallerRequest,
     deadlineAt: number,
     signal: AbortSignal,
   ): Promise<string | undefined> {
     const { plan } = request;
     const isWorth =
-      plan.promptTokens >= LEAST_KV_TOKENS &&
-      plan.outputTokens >= LEAST_KV_OUTPUT &&
+      plan.promptTokens >= MIN_KV_PROMPT_TOKENS &&
+      plan.outputTokens >= MIN_KV_OUTPUT_TOKENS &&
       plan.requestClass.repeat === "safe";
     if (!isWorth) return undefined;
     const { router, attempts, now, metrics } = this.options;
     const whole = this.routeOf(plan, deadlineAt, new Set());
-    if (router.choose(decodeOnly(whole), now()) === undefined) return undefined;
+    if (router.choose(toDecodeRoute(whole), now()) === undefined)
+      return undefined;
     const route: RouteRequest = { ...whole, phase: "prefill", outputTokens: 1 };
     const choice = router.choose(route, now());
     if (choice === undefined) return undefined;
@@ -235,7 +238,7 @@
 
   private async answer(
     request: CallerRequest,
-    answer: WholeAnswer,
+    answer: WholeResponse,
     claim: ClaimRequest | undefined,
   ): Promise<void> {
     const { res } = request;
@@ -254,7 +257,7 @@
       });
       res.end(answer.body);
     }
-    this.note(request, "answered");
+    this.recordOutcome(request, "answered");
   }
 
   private async giveUp(
@@ -263,9 +266,9 @@
     relay: StreamRelay | undefined,
     claim: ClaimRequest | undefined,
   ): Promise<void> {
-    if (relay?.hasBegun) {
+    if (relay?.isStarted) {
       relay.fail(failure);
-      return this.note(request, failure.code, failure);
+      return this.recordOutcome(request, failure.code, failure);
     }
     this.fail(request, failure);
     if (claim !== undefined && failure.verdict === "not-run") {
@@ -273,7 +276,7 @@
     }
   }
 
-  private note(
+  private recordOutcome(
     request: CallerRequest,
     outcome: string,
     failure?: RequestFailure,
@@ -296,7 +299,7 @@
     return this.budgets.get(service) ?? newRetryBudget(this.options.now());
   }
 
-  private earn(service: string): void {
+  private creditBudget(service: string): void {
     const now = this.options.now();
     this.budgets.set(service, creditRetryBudget(this.budgetOf(service), now));
   }
--- a/src/entry/requestPlan.ts
+++ b/src/entry/requestPlan.ts
@@ -23,7 +23,7 @@
   requestClass: RequestClass;
   workspace: string;
   /** From arrival to the end of the answer, ms. */
-  budgetMs: number;
+  timeoutMs: number;
   /** Whether the answer is a stream of server-sent events. */
   isStream: boolean;
   promptTokens: number;
@@ -33,7 +33,7 @@
   body: Buffer;
   idempotencyKey: string | undefined;
   /** Fingerprint of method, path and body. */
-  print: string;
+  fingerprint: string;
 }
 
 /** The parts of a request that a plan is made from. */
@@ -57,7 +57,7 @@
   messages?: { content?: unknown }[];
 }
 
-const failed = (
+const planFailure = (
   status: number,
   code: FailureCode,
   message: string,
@@ -130,7 +130,7 @@
   return best;
 };
 
-const classOf = (
+const selectClass = (
   service: Service,
   request: IncomingRequest,
 ): RequestClass | undefined => {
@@ -147,7 +147,7 @@
 };
 
 /** A caller may tighten the declared deadline, never loosen it. */
-const budgetOf = (
+const timeoutOf = (
   requestClass: RequestClass,
   headers: http.IncomingHttpHeaders,
 ): number | undefined => {
@@ -167,19 +167,19 @@
   >,
 ): PlanResult => {
   const { headers } = request;
-  const requestClass = classOf(service, request);
+  const requestClass = selectClass(service, request);
   if (requestClass === undefined) {
     const asked = headerOf(headers, HEADERS.className) ?? "";
     const known = service.classes.map((item) => item.name).join(", ");
-    return failed(
+    return planFailure(
       400,
       "bad_request",
       `service ${service.name} has no class "${asked}"; it has ${known}`,
     );
   }
-  const budgetMs = budgetOf(requestClass, headers);
-  if (budgetMs === undefined) {
-    return failed(
+  const timeoutMs = timeoutOf(requestClass, headers);
+  if (timeoutMs === undefined) {
+    return planFailure(
       400,
       "bad_request",
       `${HEADERS.deadline} is not a time in ms`,
@@ -187,7 +187,7 @@
   }
   const key = headerOf(headers, HEADERS.idempotencyKey);
   if (requestClass.repeat === "never" && !key) {
-    return failed(
+    return planFailure(
       400,
       "key_missing",
       `class ${requestClass.name} must never be repeated: send an ` +
@@ -195,20 +195,20 @@
     );
   }
   if (key !== undefined && key.length > MAX_KEY_CHARS) {
-    return failed(400, "bad_request", "the Idempotency-Key is too long");
+    return planFailure(400, "bad_request", "the Idempotency-Key is too long");
   }
   const workspace = headerOf(headers, HEADERS.workspace) ?? DEFAULT_WORKSPACE;
   if (workspace.length > MAX_WORKSPACE_CHARS) {
-    return failed(400, "bad_request", "the workspace's name is too long");
+    return planFailure(400, "bad_request", "the workspace's name is too long");
   }
   const { method, path, body } = request;
   const plan: RequestPlan = {
     service,
     requestClass,
     workspace,
-    budgetMs,
+    timeoutMs,
     idempotencyKey: key,
-    print: fingerprint(`${method} ${path}\n${body.toString("utf8")}`),
+    fingerprint: fingerprint(`${method} ${path}\n${body.toString("utf8")}`),
     ...cost,
   };
   return { kind: "plan", plan };
@@ -219,16 +219,24 @@
   request: IncomingRequest,
 ): PlanResult => {
   const body = parseModelBody(request.body);
-  if (typeof body === "string") return failed(400, "bad_request", body);
+  if (typeof body === "string") return planFailure(400, "bad_request", body);
   const found = findModel(config, body.model);
   if (found === undefined) {
-    return failed(404, "unknown_model", `no service has model ${body.model}`);
+    return planFailure(
+      404,
+      "unknown_model",
+      `no service has model ${body.model}`,
+    );
   }
   const prompt = promptOf(body);
   const asked = body.max_completion_tokens ?? body.max_tokens;
   const outputTokens = Number(asked ?? DEFAULT_OUTPUT_TOKENS);
   if (!Number.isInteger(outputTokens) || outputTokens < 1) {
-    return failed(400, "bad_request", "max_tokens is not a count of tokens");
+    return planFailure(
+      400,
+      "bad_request",
+      "max_tokens is not a count of tokens",
+    );
   }
   const sent = { ...body, model: found.exact, max_tokens: outputTokens };
   return planFor(found.service, request, {
@@ -247,13 +255,13 @@
 ): PlanResult => {
   if (isModelPath(request.path)) {
     if (request.method !== "POST") {
-      return failed(405, "bad_request", "use POST here");
+      return planFailure(405, "bad_request", "use POST here");
     }
     return planModelRequest(config, request);
   }
   const service = findPlainService(config, request.path);
   if (service === undefined) {
-    return failed(404, "unknown_route", `no service has ${request.path}`);
+    return planFailure(404, "unknown_route", `no service has ${request.path}`);
   }
   return planFor(service, request, {
     isStream: false,
--- a/src/entry/sideClient.ts
+++ b/src/entry/sideClient.ts
@@ -15,7 +15,7 @@
 /** What a failure says of the upstream. */
 export type Fault = "none" | "refused" | "failing" | "unreachable";
 
-export interface Attempt {
+export interface AttemptRequest {
   /** "IP:port" of the side. */
   address: string;
   method: string;
@@ -23,7 +23,7 @@
   headers: http.OutgoingHttpHeaders;
   body: Buffer;
   /** Longest wait for a connection, ms. */
-  connectMs: number;
+  connectTimeoutMs: number;
   /** Longest wait for the head of the answer, ms. */
   timeoutMs: number;
   signal: AbortSignal;
@@ -32,7 +32,9 @@
 const MAX_FAILURE_BYTES = 16_384;
 
 /** Reads the load that a reply carries; undefined where it has none. */
-export const loadOf = (res: http.IncomingMessage): LoadReport | undefined => {
+export const parseLoadReport = (
+  res: http.IncomingMessage,
+): LoadReport | undefined => {
   const text = res.headers[HEADERS.load];
   if (typeof text !== "string") return undefined;
   try {
@@ -62,7 +64,7 @@
    * Sends the head, waits to be let in, then sends the body. Until the body
    * is on its way a lost connection proves that nothing ran.
    */
-  send(attempt: Attempt): Promise<AttemptResult> {
+  send(attempt: AttemptRequest): Promise<AttemptResult> {
     return new Promise((resolve) => {
       let isBodySent = false;
       const req = http.request({
@@ -85,8 +87,8 @@
       );
       const connectTimer = setTimeout(() => {
         if (req.socket?.connecting) req.destroy(new Error("no connection"));
-      }, attempt.connectMs);
-      const settleTimers = () => {
+      }, attempt.connectTimeoutMs);
+      const clearTimers = () => {
         clearTimeout(timer);
         clearTimeout(connectTimer);
       };
@@ -98,23 +100,23 @@
         req.end(attempt.body);
       });
       req.on("error", (err) => {
-        settleTimers();
+        clearTimers();
         attempt.signal.removeEventListener("abort", onAbort);
         const failure = lostConnection(errText(err), isBodySent);
-        const isGivenUp = attempt.signal.aborted;
+        const isAborted = attempt.signal.aborted;
         const fault = isBodySent ? "failing" : "unreachable";
         resolve({
           kind: "failure",
           failure,
-          fault: isGivenUp ? "none" : fault,
+          fault: isAborted ? "none" : fault,
         });
       });
       req.on("response", (res) => {
-        settleTimers();
+        clearTimers();
         res.on("close", () =>
           attempt.signal.removeEventListener("abort", onAbort),
         );
-        this.learn(res);
+        this.reportHeaders(res);
         if (res.headers[HEADERS.verdict] !== undefined) {
           return void readFailure(res).then((failure) => {
             // Closes the exchange where the body was never asked for.
@@ -128,9 +130,9 @@
     });
   }
 
-  private learn(res: http.IncomingMessage): void {
+  private reportHeaders(res: http.IncomingMessage): void {
     const upstream = String(res.headers[HEADERS.upstream] ?? "");
-    const load = loadOf(res);
+    const load = parseLoadReport(res);
     if (load !== undefined) this.onLoad(upstream, load);
     const number = Number(res.headers[HEADERS.configNumber] ?? 0);
     this.onConfigNumber(number, upstream);
--- a/src/entry/streamAnswer.ts
+++ b/src/entry/streamRelay.ts
@@ -24,23 +24,23 @@
 /** The caller's side of one stream, over all its attempts. */
 export class StreamRelay {
   /** Tokens that the caller holds. */
-  tokens = 0;
+  sentTokens = 0;
   private id: string | undefined;
 
   constructor(private readonly res: http.ServerResponse) {}
 
-  get hasBegun(): boolean {
+  get isStarted(): boolean {
     return this.res.headersSent;
   }
 
-  begin(headers: http.OutgoingHttpHeaders): void {
+  start(headers: http.OutgoingHttpHeaders): void {
     if (this.res.headersSent) return;
     this.res.writeHead(200, headers);
     this.res.flushHeaders();
   }
 
   /** Passes events on until the upstream's part ends. */
-  pump(upstream: http.IncomingMessage): Promise<StreamEnd> {
+  relayEvents(upstream: http.IncomingMessage): Promise<StreamEnd> {
     return new Promise((resolve) => {
       let isOver = false;
       const end = (outcome: StreamEnd) => {
@@ -57,7 +57,7 @@
         onEvent: ({ data }) => {
           if (isOver) return;
           if (data === DONE) return this.finish(end);
-          const why = this.pass(data);
+          const why = this.relayEvent(data);
           if (why !== undefined) end({ kind: "cut", why });
         },
       });
@@ -90,7 +90,7 @@
   }
 
   /** Passes one event on; returns why it can't be, or undefined. */
-  private pass(data: string): string | undefined {
+  private relayEvent(data: string): string | undefined {
     let chunk: StreamChunk;
     try {
       chunk = JSON.parse(data) as StreamChunk;
@@ -99,11 +99,11 @@
     }
     this.id ??= chunk.id;
     if (chunk.id !== this.id) return "an event of another request";
-    const index = chunk.token_index ?? this.tokens;
-    if (index < this.tokens) return undefined;
-    if (index > this.tokens) return "a token is missing";
+    const index = chunk.token_index ?? this.sentTokens;
+    if (index < this.sentTokens) return undefined;
+    if (index > this.sentTokens) return "a token is missing";
     this.res.write(`data: ${data}\n\n`);
-    this.tokens += 1;
+    this.sentTokens += 1;
     return undefined;
   }
 }
--- a/src/entry/wholeAnswer.ts
+++ b/src/entry/wholeResponse.ts
@@ -3,14 +3,14 @@
 
 import type { RequestFailure } from "../shared/errors.js";
 
-export interface WholeAnswer {
+export interface WholeResponse {
   status: number;
   headers: http.IncomingHttpHeaders;
   body: Buffer;
 }
 
-export type WholeResult =
-  | { kind: "whole"; answer: WholeAnswer }
+export type ReadResult =
+  | { kind: "whole"; answer: WholeResponse }
   | { kind: "failure"; failure: RequestFailure };
 
 const cut = (): RequestFailure => ({
@@ -28,10 +28,10 @@
 });
 
 /** Reads an answer to its end. */
-export const readWhole = (
+export const readWholeResponse = (
   res: http.IncomingMessage,
   maxBytes: number,
-): Promise<WholeResult> =>
+): Promise<ReadResult> =>
   new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -45,7 +45,7 @@
     res.on("error", () => undefined);
     res.on("close", () => {
       if (!res.complete) return resolve({ kind: "failure", failure: cut() });
-      const answer: WholeAnswer = {
+      const answer: WholeResponse = {
         status: res.statusCode ?? 0,
         headers: res.headers,
         body: Buffer.concat(chunks),
--- a/src/operator/actions/actionCutover.ts
+++ b/src/operator/actions/actionCutover.ts
@@ -1,6 +1,11 @@
 import { applyConfig } from "../../config/index.js";
 import { StatementError } from "../../query/index.js";
-import { configOf, findService, needOption, needWord } from "../lookup.js";
+import {
+  currentConfig,
+  findService,
+  requireOption,
+  requireWord,
+} from "../lookup.js";
 import { withShare } from "../shares.js";
 import type { Action } from "../types.js";
 
@@ -13,14 +18,14 @@
   usage: "cutover SERVICE to SITE share PERCENT",
   example: "cutover parts-model to santander share 25",
   perform: async (ctx, statement) => {
-    const service = findService(ctx, needWord(statement, 0, "a service"));
-    const site = needOption(statement, "to", "a site");
-    const share = needOption(statement, "share", "a percentage");
+    const service = findService(ctx, requireWord(statement, 0, "a service"));
+    const site = requireOption(statement, "to", "a site");
+    const share = requireOption(statement, "share", "a percentage");
     const percent = Number(share.text.replace("%", ""));
     if (!(percent >= 0 && percent <= MAX_PERCENT)) {
       throw new StatementError("expected 0 to 100", share.at);
     }
-    const config = configOf(ctx);
+    const config = currentConfig(ctx);
     const changed = withShare(config, service, site, percent);
     const result = await applyConfig(ctx.store, ctx.keeper.current, changed);
     if (result.kind === "lost") {
--- a/src/operator/actions/actionDrain.ts
+++ b/src/operator/actions/actionDrain.ts
@@ -1,5 +1,5 @@
-import { giveUpstreamOrder } from "../giveOrder.js";
-import { needWord } from "../lookup.js";
+import { giveUpstreamOrder } from "../giveUpstreamOrder.js";
+import { requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
 /** Takes no new work to an upstream; requests in flight end. */
@@ -9,7 +9,7 @@
   usage: "drain UPSTREAM",
   example: "drain parts-1",
   perform: (ctx, statement) => {
-    const name = needWord(statement, 0, "an upstream");
+    const name = requireWord(statement, 0, "an upstream");
     return giveUpstreamOrder(ctx, name, { kind: "drain" });
   },
 };
--- a/src/operator/actions/actionExplain.ts
+++ b/src/operator/actions/actionExplain.ts
@@ -1,5 +1,5 @@
 import { StatementError } from "../../query/index.js";
-import { findService, needWord } from "../lookup.js";
+import { findService, requireWord } from "../lookup.js";
 import type { Action, ActionResult, OperatorContext } from "../types.js";
 import type { Service } from "../../config/index.js";
 
@@ -44,8 +44,8 @@
   usage: "explain route SERVICE [class NAME] | explain roles SERVICE",
   example: "explain roles parts-model",
   perform: async (ctx, statement) => {
-    const what = needWord(statement, 0, "route or roles");
-    const service = findService(ctx, needWord(statement, 1, "a service"));
+    const what = requireWord(statement, 0, "route or roles");
+    const service = findService(ctx, requireWord(statement, 1, "a service"));
     if (what.text === "route") {
       const name = statement.options.class?.text ?? service.defaultClass;
       return explainRoute(ctx, service, name);
--- a/src/operator/actions/actionLoad.ts
+++ b/src/operator/actions/actionLoad.ts
@@ -1,7 +1,7 @@
 import type { OrderAction } from "../../control/index.js";
 import { StatementError } from "../../query/index.js";
-import { giveUpstreamOrder } from "../giveOrder.js";
-import { needOption, needWord } from "../lookup.js";
+import { giveUpstreamOrder } from "../giveUpstreamOrder.js";
+import { requireOption, requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
 /** Loads a model version or an adapter beside what an engine has. */
@@ -11,9 +11,9 @@
   usage: "load model|adapter NAME@VERSION on UPSTREAM",
   example: "load model parts-8b@2 on parts-1",
   perform: (ctx, statement) => {
-    const what = needWord(statement, 0, "model or adapter");
-    const { text: value } = needWord(statement, 1, "a name@version");
-    const name = needOption(statement, "on", "an engine");
+    const what = requireWord(statement, 0, "model or adapter");
+    const { text: value } = requireWord(statement, 1, "a name@version");
+    const name = requireOption(statement, "on", "an engine");
     const isKnown = what.text === "model" || what.text === "adapter";
     if (!isKnown)
       throw new StatementError("expected model or adapter", what.at);
--- a/src/operator/actions/actionRole.ts
+++ b/src/operator/actions/actionRole.ts
@@ -1,7 +1,7 @@
 import { ROLES } from "../../config/index.js";
 import { StatementError } from "../../query/index.js";
-import { giveUpstreamOrder } from "../giveOrder.js";
-import { needOption, needWord } from "../lookup.js";
+import { giveUpstreamOrder } from "../giveUpstreamOrder.js";
+import { requireOption, requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
 /** Changes what kind of work an engine is set up for. */
@@ -11,8 +11,8 @@
   usage: "role UPSTREAM to mixed|prefill|decode",
   example: "role parts-1 to decode",
   perform: (ctx, statement) => {
-    const name = needWord(statement, 0, "an engine");
-    const { text, at } = needOption(statement, "to", ROLES.join("|"));
+    const name = requireWord(statement, 0, "an engine");
+    const { text, at } = requireOption(statement, "to", ROLES.join("|"));
     const value = ROLES.find((role) => role === text);
     if (value === undefined) {
       const known = ROLES.join(", ");
--- a/src/operator/actions/actionShow.ts
+++ b/src/operator/actions/actionShow.ts
@@ -1,5 +1,5 @@
 import { filterRows, StatementError } from "../../query/index.js";
-import { needWord } from "../lookup.js";
+import { requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 import { VIEWS } from "../views/index.js";
 
@@ -10,7 +10,7 @@
   usage: `show ${VIEWS.map((view) => view.name).join("|")} [where ...]`,
   example: "show engines where site = bilbao and state = draining",
   perform: async (ctx, statement) => {
-    const what = needWord(statement, 0, "a table");
+    const what = requireWord(statement, 0, "a table");
     const view = VIEWS.find((item) => item.name === what.text);
     if (view === undefined) {
       const known = VIEWS.map((item) => item.name).join(", ");
--- a/src/operator/actions/actionUndrain.ts
+++ b/src/operator/actions/actionUndrain.ts
@@ -1,5 +1,5 @@
-import { giveUpstreamOrder } from "../giveOrder.js";
-import { needWord } from "../lookup.js";
+import { giveUpstreamOrder } from "../giveUpstreamOrder.js";
+import { requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
 /** Lets a drained upstream take work again. */
@@ -9,7 +9,7 @@
   usage: "undrain UPSTREAM",
   example: "undrain parts-1",
   perform: (ctx, statement) => {
-    const name = needWord(statement, 0, "an upstream");
+    const name = requireWord(statement, 0, "an upstream");
     return giveUpstreamOrder(ctx, name, { kind: "undrain" });
   },
 };
--- a/src/operator/actions/actionUnload.ts
+++ b/src/operator/actions/actionUnload.ts
@@ -1,6 +1,6 @@
 import { StatementError } from "../../query/index.js";
-import { giveUpstreamOrder } from "../giveOrder.js";
-import { needOption, needWord } from "../lookup.js";
+import { giveUpstreamOrder } from "../giveUpstreamOrder.js";
+import { requireOption, requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
 /** Removes a model version from an engine, once nothing is in flight. */
@@ -10,11 +10,11 @@
   usage: "unload model NAME@VERSION on UPSTREAM",
   example: "unload model parts-8b@1 on parts-1",
   perform: (ctx, statement) => {
-    const what = needWord(statement, 0, "model");
+    const what = requireWord(statement, 0, "model");
     if (what.text !== "model")
       throw new StatementError("expected model", what.at);
-    const { text: value } = needWord(statement, 1, "a name@version");
-    const name = needOption(statement, "on", "an engine");
+    const { text: value } = requireWord(statement, 1, "a name@version");
+    const name = requireOption(statement, "on", "an engine");
     return giveUpstreamOrder(ctx, name, { kind: "unload-model", value });
   },
 };
--- a/src/operator/lookup.ts
+++ b/src/operator/lookup.ts
@@ -6,19 +6,19 @@
 
 const MAX_LISTED = 12;
 
-const listed = (names: string[]): string => {
+const formatNames = (names: string[]): string => {
   const shown = names.slice(0, MAX_LISTED).join(", ");
   return names.length > MAX_LISTED ? `${shown}, ...` : shown;
 };
 
-export const configOf = (ctx: OperatorContext): Config => {
+export const currentConfig = (ctx: OperatorContext): Config => {
   const state = ctx.keeper.current;
   if (state === undefined) throw new StatementError("no configuration yet", 0);
   return state.config;
 };
 
 /** The word at `index`, or an error that says what belongs there. */
-export const needWord = (
+export const requireWord = (
   statement: Statement,
   index: number,
   what: string,
@@ -28,7 +28,7 @@
   throw new StatementError(`expected ${what}`, endOf(statement));
 };
 
-export const needOption = (
+export const requireOption = (
   statement: Statement,
   name: string,
   what: string,
@@ -49,22 +49,25 @@
   { text, at }: ParsedValue,
 ): FoundUpstream => {
   const all: string[] = [];
-  for (const service of configOf(ctx).services) {
+  for (const service of currentConfig(ctx).services) {
     for (const upstream of service.upstreams) {
       if (upstream.id === text) return { service, upstream };
       all.push(upstream.id);
     }
   }
-  throw new StatementError(`no engine "${text}"; there are ${listed(all)}`, at);
+  throw new StatementError(
+    `no engine "${text}"; there are ${formatNames(all)}`,
+    at,
+  );
 };
 
 export const findService = (
   ctx: OperatorContext,
   { text, at }: ParsedValue,
 ): Service => {
-  const { services } = configOf(ctx);
+  const { services } = currentConfig(ctx);
   const found = services.find((service) => service.name === text);
   if (found !== undefined) return found;
-  const names = listed(services.map((service) => service.name));
+  const names = formatNames(services.map((service) => service.name));
   throw new StatementError(`no service "${text}"; there are ${names}`, at);
 };
--- a/src/operator/views/viewEngines.ts
+++ b/src/operator/views/viewEngines.ts
@@ -2,7 +2,7 @@
 import { isOrderPending } from "../../control/index.js";
 import type { ControlRecord, UpstreamStatus } from "../../control/index.js";
 import type { Row } from "../../query/index.js";
-import { restoreReport } from "../../side/sideReport.js";
+import { parseSideReport } from "../../side/sideReport.js";
 import type { OperatorContext, View } from "../types.js";
 
 const COLUMNS = [
@@ -44,7 +44,7 @@
   const base = { upstream: id, service: service.name, site, vm, order };
   try {
     const { json } = await ctx.link.report(peerAddress);
-    const report = restoreReport(json);
+    const report = parseSideReport(json);
     return {
       ...base,
       state: report.state,
--- a/src/side/cacheModel.ts
+++ b/src/side/cacheModel.ts
@@ -12,7 +12,7 @@
 
   /** `cacheTokens`: size of the engine's cache, tokens. */
   constructor(private cacheTokens: number) {
-    this.blocks = CacheModel.sized(cacheTokens);
+    this.blocks = CacheModel.createCache(cacheTokens);
   }
 
   /** A new size empties it. */
@@ -24,7 +24,7 @@
 
   /** The engine lost its cache. */
   clear(): void {
-    this.blocks = CacheModel.sized(this.cacheTokens);
+    this.blocks = CacheModel.createCache(this.cacheTokens);
   }
 
   /** Tokens of a prompt that are cached, from its prefixes. */
@@ -35,18 +35,18 @@
   }
 
   /** A prompt was handed to the engine; returns what is new by it. */
-  learn(prefixes: readonly string[]): string[] {
+  add(prefixes: readonly string[]): string[] {
     const fresh = prefixes.filter((prefix) => !this.blocks.has(prefix));
     for (const prefix of prefixes) this.blocks.set(prefix, true);
     return fresh;
   }
 
   /** The prompt was not read after all: its caller went away before. */
-  unlearn(prefixes: readonly string[]): void {
+  remove(prefixes: readonly string[]): void {
     for (const prefix of prefixes) this.blocks.delete(prefix);
   }
 
-  private static sized(cacheTokens: number): LRUCache<string, true> {
+  private static createCache(cacheTokens: number): LRUCache<string, true> {
     const max = Math.max(1, Math.floor(cacheTokens / BLOCK_TOKENS));
     return new LRUCache({ max });
   }
--- a/src/side/dataServer.ts
+++ b/src/side/dataServer.ts
@@ -16,7 +16,7 @@
 import type { Log } from "../telemetry/index.js";
 import type { SideSettings } from "../settings/index.js";
 import {
-  cutOff,
+  connectionLost,
   refused,
   sendFailure,
   unauthorized,
@@ -26,7 +26,7 @@
 import type { SideGate } from "./sideGate.js";
 import type { SideReport } from "./sideReport.js";
 import type { SideRequest } from "./types.js";
-import { arrivalOf, prefixesOf } from "./requestHead.js";
+import { parseArrival, parsePrefixes } from "./requestHeaders.js";
 import { StreamPace } from "./streamPace.js";
 import { callUpstream } from "./upstreamCall.js";
 
@@ -59,7 +59,7 @@
     this.server.on("checkContinue", (req, res) => this.onRequest(req, res));
     this.server.keepAliveTimeout = 0;
     this.server.requestTimeout = 0;
-    this.timer = setInterval(() => this.letIn(), EXPIRE_PERIOD_MS);
+    this.timer = setInterval(() => this.admitWaiting(), EXPIRE_PERIOD_MS);
     options.gate.onChange(() => this.onGateChange());
   }
 
@@ -93,10 +93,10 @@
   ): SideRequest {
     this.sequence += 1;
     const { cache, now } = this.options;
-    const prefixes = prefixesOf(req.headers);
+    const prefixes = parsePrefixes(req.headers);
     const cached = cache.cachedTokens(prefixes);
-    const arrival = arrivalOf(req.headers, this.sequence, cached, now());
-    return { id: arrival.id, req, res, arrival, prefixes, unread: [] };
+    const arrival = parseArrival(req.headers, this.sequence, cached, now());
+    return { id: arrival.id, req, res, arrival, prefixes, pendingPrefixes: [] };
   }
 
   private refusalOf({ req }: SideRequest): RequestFailure | undefined {
@@ -171,12 +171,12 @@
   private onClosed(request: SideRequest): void {
     this.waiting.delete(request.id);
     this.options.admission.remove(request.id);
-    this.options.cache.unlearn(request.unread);
-    this.options.gate.onWorkEnded();
-    this.letIn();
+    this.options.cache.remove(request.pendingPrefixes);
+    this.options.gate.onRequestEnded();
+    this.admitWaiting();
   }
 
-  private letIn(): void {
+  private admitWaiting(): void {
     const { admitted, expired } = this.options.admission.admitWaiting(
       this.options.now(),
     );
@@ -193,12 +193,15 @@
   }
 
   /** Prefill ends with the first bytes; the events after it give the pace. */
-  private measure(upstream: http.IncomingMessage, request: SideRequest): void {
+  private observeStream(
+    upstream: http.IncomingMessage,
+    request: SideRequest,
+  ): void {
     const { admission, now } = this.options;
     const pace = new StreamPace();
     upstream.once("data", () => {
       admission.prefillDone(request.id);
-      request.unread = [];
+      request.pendingPrefixes = [];
     });
     upstream.on("data", (bytes: Buffer) => pace.onBytes(bytes, now()));
     upstream.on("end", () => {
@@ -210,7 +213,7 @@
   private async run(request: SideRequest): Promise<void> {
     const { req, res } = request;
     const { limits } = this.options.settings;
-    request.unread = this.options.cache.learn(request.prefixes);
+    request.pendingPrefixes = this.options.cache.add(request.prefixes);
     res.writeContinue();
     let body: Buffer;
     try {
@@ -252,11 +255,12 @@
       ...this.replyHeaders(),
     });
     res.flushHeaders();
-    this.measure(upstream, request);
+    this.observeStream(upstream, request);
     upstream.on("error", () => res.destroy());
     upstream.on("close", () => {
       // Closing without a last chunk tells the entry that it was cut.
-      if (!upstream.complete) res.destroy(new Error(cutOff("cut").message));
+      if (!upstream.complete)
+        res.destroy(new Error(connectionLost("cut").message));
     });
     upstream.pipe(res);
   }
--- a/src/side/engineAdmin.ts
+++ b/src/side/engineAdmin.ts
@@ -14,7 +14,7 @@
 }
 
 /** What sending an order came to. */
-export type OrderSend =
+export type OrderSendResult =
   | { kind: "started" }
   /** The engine refused: an old fencing number, or busy. */
   | { kind: "refused"; why: string }
@@ -31,7 +31,7 @@
 /** Orders and state of a model engine. */
 export interface ModelEngine {
   state(): Promise<EngineState>;
-  order(order: EngineOrder): Promise<OrderSend>;
+  order(order: EngineOrder): Promise<OrderSendResult>;
 }
 
 const TIMEOUT_MS = 2000;
@@ -50,7 +50,7 @@
     return JSON.parse(answer.text) as EngineState;
   }
 
-  async order(order: EngineOrder): Promise<OrderSend> {
+  async order(order: EngineOrder): Promise<OrderSendResult> {
     try {
       const answer = await exchange({
         method: "POST",
--- a/src/side/failures.ts
+++ b/src/side/failures.ts
@@ -45,7 +45,7 @@
 });
 
 /** The connection was lost after bytes were written. */
-export const cutOff = (why: string): RequestFailure => ({
+export const connectionLost = (why: string): RequestFailure => ({
   status: HTTP_BAD_GATEWAY,
   code: "cut",
   message: `upstream connection lost: ${why}`,
@@ -53,7 +53,7 @@
 });
 
 /** The answer carries the id of another request. */
-export const crossed = (): RequestFailure => ({
+export const mismatchedResponse = (): RequestFailure => ({
   status: HTTP_BAD_GATEWAY,
   code: "crossed",
   message: "the upstream answered with another request's id",
--- a/src/side/orderExecutor.ts
+++ b/src/side/orderExecutor.ts
@@ -22,7 +22,7 @@
 import type { EngineState, ModelEngine } from "./engineAdmin.js";
 import type { SideGate } from "./sideGate.js";
 
-const ENGINE_TRIES = 100;
+const MAX_ENGINE_ATTEMPTS = 100;
 
 export interface OrderExecutorOptions {
   upstream: string;
@@ -39,7 +39,7 @@
   pollMs: number;
 }
 
-const pause = (durationMs: number): Promise<void> =>
+const sleep = (durationMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, durationMs));
 
 /** Another side has claimed the upstream: this one gives no more orders. */
@@ -80,7 +80,7 @@
       return log.warn("orders wait", { cause: errText(err) });
     }
     this.isSuperseded = true;
-    gate.shut("leaving");
+    gate.close("leaving");
     log.error("another side has claimed this upstream; this one stops");
   }
 
@@ -92,7 +92,7 @@
     this.applyDrain(desired);
     if (desired !== undefined) {
       if (isOrderPending(desired, this.status?.value)) {
-        await this.carryOut(desired.order);
+        await this.execute(desired.order);
       } else {
         await this.restoreRole(desired);
       }
@@ -125,12 +125,12 @@
     if (before === undefined) return;
     // An older side may still be inside its window: wait it out.
     log.info("claimed from an older side", { waitMs: windowMs });
-    await pause(windowMs);
+    await sleep(windowMs);
   }
 
   private applyDrain(desired: Desired | undefined): void {
     const { gate } = this.options;
-    if (desired?.isDrained) gate.shut("draining");
+    if (desired?.isDrained) gate.close("draining");
     else gate.open("draining");
   }
 
@@ -142,22 +142,22 @@
     if (state.busyWith !== null || state.role === desired.role) return;
     const id = `${desired.order.id}.restore`;
     const action = { kind: "role", value: desired.role } as const;
-    await this.carryOut({ ...desired.order, id, action });
+    await this.execute({ ...desired.order, id, action });
   }
 
-  private async carryOut(order: Order): Promise<void> {
+  private async execute(order: Order): Promise<void> {
     const { kind } = order.action;
     if (kind === "drain" || kind === "undrain") {
-      if (kind === "drain") await this.options.gate.idle();
+      if (kind === "drain") await this.options.gate.whenIdle();
       return this.finish(order, "done", "");
     }
     if (this.options.engine === undefined) {
       return this.finish(order, "failed", "a plain service has no engine");
     }
-    await this.carryOutOnEngine(order, this.options.engine);
+    await this.executeOnEngine(order, this.options.engine);
   }
 
-  private async carryOutOnEngine(
+  private async executeOnEngine(
     order: Order,
     engine: ModelEngine,
   ): Promise<void> {
@@ -166,9 +166,9 @@
     const isAdditive =
       order.action.kind === "load-model" ||
       order.action.kind === "load-adapter";
-    if (!isAdditive) gate.shut("busy");
+    if (!isAdditive) gate.close("busy");
     try {
-      if (!isAdditive) await gate.idle();
+      if (!isAdditive) await gate.whenIdle();
       await this.sendUntilDone(order, engine);
     } finally {
       gate.open("busy");
@@ -181,12 +181,12 @@
     engine: ModelEngine,
   ): Promise<void> {
     let tries = 0;
-    while (tries < ENGINE_TRIES) {
+    while (tries < MAX_ENGINE_ATTEMPTS) {
       const outcome = await this.engineOutcome(order);
       if (outcome === "done") return this.finish(order, "done", "");
       if (outcome !== "running") tries += 1;
       if (outcome === "absent") await this.sendInWindow(order, engine);
-      await pause(this.options.pollMs);
+      await sleep(this.options.pollMs);
     }
     await this.finish(order, "failed", "the engine did not carry it out");
   }
--- a/src/side/requestHead.ts
+++ b/src/side/requestHeaders.ts
@@ -17,7 +17,7 @@
   URGENCIES.find((item) => item === value) ?? "normal";
 
 /** Hashes of the prompt's growing prefixes, shortest first. */
-export const prefixesOf = (headers: http.IncomingHttpHeaders): string[] => {
+export const parsePrefixes = (headers: http.IncomingHttpHeaders): string[] => {
   const value = headers[HEADERS.prefixes];
   return typeof value === "string" && value !== "" ? value.split(",") : [];
 };
@@ -26,7 +26,7 @@
  * The request as admission sees it. `sequence` keeps two attempts of one
  * request apart; `cachedTokens` of its prompt need no reading.
  */
-export const arrivalOf = (
+export const parseArrival = (
   headers: http.IncomingHttpHeaders,
   sequence: number,
   cachedTokens: number,
--- a/src/side/sideDaemon.ts
+++ b/src/side/sideDaemon.ts
@@ -81,7 +81,7 @@
   const gate = new SideGate(() => admission.inFlight);
   const executor = createExecutor(runtime, settings, gate);
   const cache = new CacheModel(DEFAULT_LIMITS.capacity.cacheTokens);
-  gate.onRole(() => {
+  gate.onRoleChange(() => {
     cache.clear();
     admission.setRole(gate.role);
   });
@@ -111,12 +111,12 @@
     admission.setLimits(limits);
     cache.resize(limits.capacity.cacheTokens);
   });
-  gate.onRole(() => {
+  gate.onRoleChange(() => {
     membership.announceRole(gate.role);
     void gossip.spread();
   });
   membership.onChange((member) => {
-    if (member.id === id && member.state === "leaving") gate.shut("leaving");
+    if (member.id === id && member.state === "leaving") gate.close("leaving");
   });
   await learnConfiguration(runtime, gossip);
   startCommonTasks(runtime, membership, gossip);
@@ -126,10 +126,10 @@
   return {
     addresses: { data: dataAt, peers },
     stop: async () => {
-      gate.shut("leaving");
+      gate.close("leaving");
       membership.announce("leaving");
       await gossip.spread();
-      await gate.idle();
+      await gate.whenIdle();
       data.close();
       supervisor.stop();
       link.close();
--- a/src/side/sideGate.ts
+++ b/src/side/sideGate.ts
@@ -40,11 +40,11 @@
     for (const listener of this.roleListeners) listener();
   }
 
-  onRole(listener: Listener): void {
+  onRoleChange(listener: Listener): void {
     this.roleListeners.push(listener);
   }
 
-  shut(reason: GateReason): void {
+  close(reason: GateReason): void {
     if (this.reasons.has(reason)) return;
     this.reasons.add(reason);
     this.notify();
@@ -56,13 +56,13 @@
   }
 
   /** Resolves when no request is in flight. */
-  idle(): Promise<void> {
+  whenIdle(): Promise<void> {
     if (this.inFlight() === 0) return Promise.resolve();
     return new Promise((resolve) => this.idleWaiters.push(resolve));
   }
 
   /** A request ended. */
-  onWorkEnded(): void {
+  onRequestEnded(): void {
     if (this.inFlight() > 0) return;
     const waiters = this.idleWaiters;
     this.idleWaiters = [];
--- a/src/side/sideReport.ts
+++ b/src/side/sideReport.ts
@@ -21,5 +21,5 @@
 export type SideReport = z.infer<typeof sideReportSchema>;
 
 /** Checks a report where it enters an entry. */
-export const restoreReport = (json: string): SideReport =>
+export const parseSideReport = (json: string): SideReport =>
   sideReportSchema.parse(JSON.parse(json));
--- a/src/side/streamPace.ts
+++ b/src/side/streamPace.ts
@@ -2,7 +2,7 @@
 
 const EVENT_END = Buffer.from("\n\n");
 /** Shorter streams say little about the pace. */
-const LEAST_EVENTS = 4;
+const MIN_EVENTS = 4;
 
 /** Server-sent events that end in these bytes. */
 const countEvents = (bytes: Buffer): number => {
@@ -26,7 +26,7 @@
 
   /** Mean time between two events, ms; undefined for a short stream. */
   paceMs(now: number): number | undefined {
-    if (this.firstAt === undefined || this.events < LEAST_EVENTS) {
+    if (this.firstAt === undefined || this.events < MIN_EVENTS) {
       return undefined;
     }
     return (now - this.firstAt) / this.events;
--- a/src/side/types.ts
+++ b/src/side/types.ts
@@ -12,5 +12,5 @@
   /** Hashes of the prompt's growing prefixes. */
   prefixes: readonly string[];
   /** Prefixes that count as cached by it, until its prompt is read. */
-  unread: readonly string[];
+  pendingPrefixes: readonly string[];
 }
--- a/src/side/upstreamCall.ts
+++ b/src/side/upstreamCall.ts
@@ -5,10 +5,10 @@
 import { HEADERS } from "../shared/constants.js";
 import type { RequestFailure } from "../shared/errors.js";
 import { errText } from "../shared/utils.js";
-import { crossed, cutOff, unreachable } from "./failures.js";
+import { mismatchedResponse, connectionLost, unreachable } from "./failures.js";
 
 /** Internal headers that the upstream reads. */
-const FOR_UPSTREAM: readonly string[] = [
+const UPSTREAM_HEADERS: readonly string[] = [
   HEADERS.urgency,
   HEADERS.resumeFrom,
   HEADERS.deadline,
@@ -42,7 +42,9 @@
       method: req.method ?? "GET",
       agent,
       headers: {
-        ...passedHeaders(req.headers, (name) => FOR_UPSTREAM.includes(name)),
+        ...passedHeaders(req.headers, (name) =>
+          UPSTREAM_HEADERS.includes(name),
+        ),
         ...(body.length > 0 ? { "content-length": body.length } : {}),
       },
     });
@@ -53,7 +55,7 @@
     });
     upstreamReq.on("error", (err) => {
       const failure = isConnected
-        ? cutOff(errText(err))
+        ? connectionLost(errText(err))
         : unreachable(errText(err));
       resolve({ kind: "failure", failure });
     });
@@ -61,7 +63,7 @@
       const echoed = res.headers[HEADERS.requestId];
       if (options.echoesRequestId && echoed !== requestId) {
         upstreamReq.destroy();
-        return resolve({ kind: "failure", failure: crossed() });
+        return resolve({ kind: "failure", failure: mismatchedResponse() });
       }
       resolve({ kind: "response", res, req: upstreamReq });
     });
--- a/tests/story.test.ts
+++ b/tests/story.test.ts
@@ -5,7 +5,7 @@
 import os from "node:os";
 import path from "node:path";
 
-import { parseLog, renderStory, storyOf } from "../src/cli/requestStory.js";
+import { buildStory, parseLog, renderStory } from "../src/cli/requestStory.js";
 import { DIST } from "./support/processes.js";
 
 const line = (
@@ -38,13 +38,13 @@
   const { lines, unreadable } = parseLog(`${ENTRY}\n${SCHEDULER}`);
 
   it("has its own lines in order of time", () => {
-    const own = storyOf(lines, "a").own.map((item) => item.message);
+    const own = buildStory(lines, "a").own.map((item) => item.message);
     expect(own).to.eql(["placed", "send failed", "request"]);
     expect(unreadable).to.equal(1);
   });
 
   it("has what was believed of its replicas and processes then", () => {
-    const { context } = storyOf(lines, "a");
+    const { context } = buildStory(lines, "a");
     const seen = context.map((item) => [item.message, item.replica]);
     expect(seen).to.eql([
       ["change of stage ordered", "r-1"],
@@ -60,13 +60,13 @@
       line(2, "entry-3", "request quarantined", { digest: "4.same" }),
       line(50, "entry-1", "request", { requestId: "c", digest: "4.same" }),
     ];
-    const { context } = storyOf(parseLog(log.join("\n")).lines, "c");
+    const { context } = buildStory(parseLog(log.join("\n")).lines, "c");
     const seen = context.map((item) => item.message);
     expect(seen).to.eql(["replica ended", "request quarantined"]);
   });
 
   it("shows fields, and not those that say nothing", () => {
-    const text = renderStory(storyOf(lines, "a"));
+    const text = renderStory(buildStory(lines, "a"));
     expect(text).to.include("entry-1  request  outcome=cut");
     expect(text).to.not.include("requestId");
   });
