--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a request: sends it to the chosen upstream's side, reads
- * the answer, and tells routing what was learnt.
+ * Runs one attempt of a request: sends it to the side of the chosen upstream,
+ * reads the response and reports the outcome to the router.
  */
 import type http from "node:http";
 import { z } from "zod/v4";
@@ -21,7 +21,7 @@
 const HTTP_NOT_FOUND = 404;
 const HTTP_SERVER_ERROR = 500;
 
-/** What an attempt came to, after its answer was read. */
+/** Outcome of an attempt, after its response was read. */
 export type AttemptOutcome =
   | { kind: "answered" }
   | { kind: "whole"; answer: WholeResponse }
@@ -32,59 +32,62 @@
   router: Router;
   client: SideClient;
   metrics: Metrics;
-  /** Shared secret of the fleet's processes. */
+  /** Secret shared by all processes of the fleet. */
   secret: string;
   maxAnswerBytes: number;
   now: () => number;
 }
 
-/** One attempt and what it goes with. */
+/** One attempt of a request. */
 export interface AttemptOptions {
   request: CallerRequest;
   choice: Choice;
   route: RouteRequest;
   signal: AbortSignal;
-  /** Present for a streamed answer. */
+  /** Defined for a streamed response. */
   relay: StreamRelay | undefined;
-  /** Where the prompt's KV cache is, if another engine has read it. */
+  /** URL of the prompt's KV cache, if another engine has read the prompt. */
   kvUrl: string | undefined;
 }
 
-/** What an engine answers when it has read a prompt for another. */
+/** Response of an engine that has read a prompt for another engine. */
 const kvExportResponseSchema = z.object({ kv: z.object({ url: z.string() }) });
 
 export class AttemptRunner {
   constructor(private readonly options: AttemptRunnerOptions) {}
 
-  async run(order: AttemptOptions): Promise<AttemptOutcome> {
+  async run(attempt: AttemptOptions): Promise<AttemptOutcome> {
     const { router, client, now } = this.options;
-    const { request, choice, route, signal, relay } = order;
+    const { request, choice, route, signal, relay } = attempt;
     const { id } = choice.upstream;
-    const fresh = router.onSent(id, route, now());
+    const newPrefixes = router.onSent(id, route, now());
     try {
       const result = await client.send({
         address: choice.upstream.dataAddress,
         method: request.req.method ?? "GET",
         path: request.req.url ?? "/",
-        headers: this.requestHeaders(order),
+        headers: this.requestHeaders(attempt),
         body: request.plan.body,
         connectTimeoutMs: CONNECT_TIMEOUT_MS,
         timeoutMs: Math.max(1, route.deadlineAt - now()),
         signal,
       });
-      const end = await this.readResponse(request, result, relay);
-      this.recordOutcome(id, end);
-      if (end.kind === "failed") router.onPromptNotCached(id, fresh);
-      return end;
+      const outcome = await this.readResponse(request, result, relay);
+      this.recordOutcome(id, outcome);
+      if (outcome.kind === "failed") router.onPromptNotCached(id, newPrefixes);
+      return outcome;
     } finally {
       router.onEnd(id);
     }
   }
 
-  /** Has a prompt read; gives the place of its KV cache, if that worked. */
-  async readPrompt(order: AttemptOptions): Promise<string | undefined> {
+  /**
+   * Has an engine read a prompt. Returns the URL of its KV cache, or undefined
+   * if that failed.
+   */
+  async readPrompt(attempt: AttemptOptions): Promise<string | undefined> {
     const { router, client, now, maxAnswerBytes } = this.options;
-    const { request, choice, route, signal } = order;
+    const { request, choice, route, signal } = attempt;
     const { id } = choice.upstream;
     router.onSent(id, route, now());
     try {
@@ -93,7 +96,7 @@
         method: "POST",
         path: request.req.url ?? "/",
         headers: {
-          ...this.requestHeaders(order),
+          ...this.requestHeaders(attempt),
           [HEADERS.kvExport]: "export",
         },
         body: request.plan.body,
@@ -101,10 +104,12 @@
         timeoutMs: Math.max(1, route.deadlineAt - now()),
         signal,
       });
-      const end = await this.readResponse(request, result, undefined);
-      this.recordOutcome(id, end);
-      if (end.kind !== "whole") return undefined;
-      const text = end.answer.body.toString("utf8").slice(0, maxAnswerBytes);
+      const outcome = await this.readResponse(request, result, undefined);
+      this.recordOutcome(id, outcome);
+      if (outcome.kind !== "whole") return undefined;
+      const text = outcome.answer.body
+        .toString("utf8")
+        .slice(0, maxAnswerBytes);
       const parsed = kvExportResponseSchema.safeParse(JSON.parse(text));
       return parsed.success ? parsed.data.kv.url : undefined;
     } catch {
@@ -114,8 +119,8 @@
     }
   }
 
-  private requestHeaders(order: AttemptOptions): http.OutgoingHttpHeaders {
-    const { request, choice, route, relay } = order;
+  private requestHeaders(attempt: AttemptOptions): http.OutgoingHttpHeaders {
+    const { request, choice, route, relay } = attempt;
     const { plan, id, req } = request;
     const resume: Record<string, string> = relay?.sentTokens
       ? { [HEADERS.resumeFrom]: String(relay.sentTokens) }
@@ -134,7 +139,9 @@
       [HEADERS.prefixes]: route.prefixes.join(","),
       [HEADERS.outputTokens]: String(route.outputTokens),
       ...resume,
-      ...(order.kvUrl === undefined ? {} : { [HEADERS.kvImport]: order.kvUrl }),
+      ...(attempt.kvUrl === undefined
+        ? {}
+        : { [HEADERS.kvImport]: attempt.kvUrl }),
     };
   }
 
@@ -158,14 +165,17 @@
     return this.classifyResponse(request, whole.answer, relay);
   }
 
-  /** An upstream's own failure may be tried elsewhere, where that is safe. */
+  /**
+   * Decides whether a response goes to the caller or counts as a failed
+   * attempt, which may be retried on another upstream.
+   */
   private classifyResponse(
     request: CallerRequest,
     answer: WholeResponse,
     relay: StreamRelay | undefined,
   ): AttemptOutcome {
     const { requestClass, service } = request.plan;
-    // An engine that has not loaded the model yet: another one may have.
+    // This engine has not loaded the model yet; another one may have.
     const isNotLoaded =
       service.kind === "model" && answer.status === HTTP_NOT_FOUND;
     const isFault = answer.status >= HTTP_SERVER_ERROR;
@@ -236,7 +246,7 @@
       case "refused":
         if (failure.code === "leaving")
           return router.onLeaving(upstream, now());
-        // This request's deadline says nothing of the next one's.
+        // A refusal for this request's deadline doesn't apply to other requests.
         if (failure.code === "deadline") return;
         return router.onRefusal(upstream, failure.retryAfterMs ?? 0, now());
       case "failing":
--- a/src/entry/callerFailure.ts
+++ b/src/entry/callerFailure.ts
@@ -1,4 +1,4 @@
-/** The failures that an entry tells a caller, and how it tells them. */
+/** Failures that an entry returns to callers, and their response format. */
 import type http from "node:http";
 
 import { HEADERS } from "../shared/constants.js";
@@ -38,7 +38,10 @@
   verdict: "not-run",
 });
 
-/** Tells a caller of a failure: verdict, typed body, when to come back. */
+/**
+ * Sends a failure as a JSON error with its verdict and `retry-after`. Does
+ * nothing if a response was already started or the connection is closed.
+ */
 export const sendCallerFailure = (
   res: http.ServerResponse,
   requestId: string,
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers connect to. */
+/** HTTP server for callers' requests. */
 import http from "node:http";
 
 import type { ConfigState } from "../config/index.js";
@@ -45,17 +45,17 @@
     this.server.maxConnections = limits.maxConnections;
   }
 
-  /** Whether this entry should get work from the balancer. */
+  /** Whether the load balancer should send requests to this entry. */
   get isReady(): boolean {
     return !this.isLeaving && this.options.config() !== undefined;
   }
 
-  /** Not ready any more; requests are still answered. */
+  /** Reports not ready from now on; requests are still processed. */
   startLeaving(): void {
     this.isLeaving = true;
   }
 
-  /** Closes the listener and resolves when nothing is in flight. */
+  /** Closes the listener and resolves when no request is in flight. */
   closeWhenIdle(): Promise<void> {
     this.server.close();
     this.server.closeIdleConnections();
@@ -126,7 +126,7 @@
       res.setHeader("connection", "close");
       return sendCallerFailure(res, id, bodyTooLargeFailure(err.message));
     }
-    this.options.log.error("request threw", {
+    this.options.log.error("request processing failed", {
       requestId: id,
       cause: errText(err),
     });
--- a/src/entry/controlLoop.ts
+++ b/src/entry/controlLoop.ts
@@ -1,6 +1,6 @@
 /**
- * The control loop of one service, run by whichever entry holds its lease:
- * keeps the lease, reminds sides of open orders, and plans roles.
+ * The control loop of one service. The entry that holds the service's lease
+ * renews it, notifies sides of pending orders and plans engine roles.
  */
 import { randomUUID } from "node:crypto";
 
@@ -30,11 +30,11 @@
 import type { SideReport } from "../side/sideReport.js";
 import type { Log } from "../telemetry/index.js";
 
-/** How long a role change is taken to keep an engine away, ms. */
+/** Estimated time that an engine is unavailable during a role change, ms. */
 const ROLE_CHANGE_MS = 5000;
 const REPORT_PERIOD_MS = 2000;
 
-/** What the loop asks of sides. */
+/** Calls from the control loop to sides. */
 export type SideCalls = Pick<PeerLink, "nudge" | "report">;
 
 export interface ControlLoopOptions {
@@ -52,7 +52,7 @@
   private readonly tokenRates = new Map<string, TokenRates>();
   private readonly reports = new Map<string, SideReport>();
   private lastReportAt = -Infinity;
-  /** The newest decision about roles, for `explain`. */
+  /** Latest role plan, shown by the `explain` command. */
   lastPlan: RolePlan = { kind: "keep", why: "no plan was made yet" };
 
   constructor(private readonly options: ControlLoopOptions) {}
@@ -66,7 +66,7 @@
     return this.lease.seen?.epoch ?? 0;
   }
 
-  /** One step for a service as it is declared now. */
+  /** Runs one step with the service's current configuration. */
   async step(service: Service): Promise<void> {
     const { control, self, leaseMs, now } = this.options;
     const read = await control.readControl(service.name);
@@ -78,7 +78,10 @@
     await this.planRoles(service, current);
   }
 
-  /** The record if this process holds the lease, else undefined. */
+  /**
+   * Takes or renews the lease. Returns the control record if this process
+   * holds the lease, else undefined.
+   */
   private async maintainLease(
     service: string,
     read: Versioned<ControlRecord>,
@@ -114,7 +117,7 @@
       const { seq } = desired.order;
       const hint = { upstream: upstream.id, seq };
       link.nudge(upstream.peerAddress, hint).catch(() => {
-        log.debug("side not reminded", { upstream: upstream.id });
+        log.debug("side not notified of order", { upstream: upstream.id });
       });
     }
   }
@@ -146,8 +149,8 @@
     });
     if (answer.kind !== "accepted") return;
     const record = recordRoleChange(answer.record, wallClock());
-    // The expected version is from before the plan: a lease that was taken
-    // since makes this write fail.
+    // Uses the version read before planning, so that the write fails if
+    // another process has taken the lease since.
     const version = await control.writeControl(
       service.name,
       record,
--- a/src/entry/controlLoops.ts
+++ b/src/entry/controlLoops.ts
@@ -1,4 +1,4 @@
-/** Runs the control loops of the services that this entry may hold. */
+/** Runs the control loops of the services whose lease this entry may hold. */
 import type { ConfigKeeper } from "../config/index.js";
 import { RankingCache } from "../membership/index.js";
 import type { Membership } from "../membership/index.js";
@@ -7,7 +7,7 @@
 import { ControlLoop } from "./controlLoop.js";
 import type { ControlLoopOptions } from "./controlLoop.js";
 
-/** Entries that try for one service's lease; the others do not read it. */
+/** Number of entries that compete for a service's lease; others don't read it. */
 const LEASE_CANDIDATES = 3;
 
 export class ControlLoops {
@@ -25,17 +25,19 @@
     );
   }
 
-  /** One step of each loop; a failing one does not hold the others up. */
+  /** Runs one step of each loop; a failing loop doesn't block the others. */
   async step(): Promise<void> {
     const services = this.keeper.current?.config.services ?? [];
-    const mine = services.filter((service) => this.isCandidate(service.name));
+    const candidateServices = services.filter((service) =>
+      this.isCandidate(service.name),
+    );
     await Promise.all(
-      mine.map(async (service) => {
+      candidateServices.map(async (service) => {
         try {
-          await this.loopOf(service.name).step(service);
+          await this.getOrCreateLoop(service.name).step(service);
         } catch (err) {
           const cause = errText(err);
-          this.options.log.debug("control loop waits", {
+          this.options.log.debug("control loop step failed", {
             service: service.name,
             cause,
           });
@@ -44,7 +46,7 @@
     );
   }
 
-  /** What this entry last decided about a service's roles. */
+  /** Latest role plan of a service; undefined if another entry holds its lease. */
   planOf(service: string): RolePlan | undefined {
     const loop = this.loops.get(service);
     return loop?.isHolder ? loop.lastPlan : undefined;
@@ -56,11 +58,11 @@
     return this.entries.isSelfRanked(`lease/${service}`, LEASE_CANDIDATES);
   }
 
-  private loopOf(service: string): ControlLoop {
-    const known = this.loops.get(service);
-    if (known !== undefined) return known;
-    const fresh = new ControlLoop(this.options);
-    this.loops.set(service, fresh);
-    return fresh;
+  private getOrCreateLoop(service: string): ControlLoop {
+    const existing = this.loops.get(service);
+    if (existing !== undefined) return existing;
+    const created = new ControlLoop(this.options);
+    this.loops.set(service, created);
+    return created;
   }
 }
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -1,4 +1,4 @@
-/** Role `entry`: takes callers' requests and operators' commands. */
+/** Role `entry`: serves callers' requests and operators' commands. */
 import { StoredClaims } from "../claims/index.js";
 import {
   createGossip,
@@ -25,7 +25,7 @@
 import { SideClient } from "./sideClient.js";
 
 const STEPS_PER_LEASE = 6;
-/** Entries of a failure domain that read the VM list. */
+/** Number of entries per failure domain that read the VM list. */
 const VM_LIST_READERS = 2;
 
 const sleep = (durationMs: number): Promise<void> =>
@@ -75,7 +75,10 @@
   };
 };
 
-/** Calls to sides; what their replies carry goes to routing and gossip. */
+/**
+ * Creates the client for sides. Load reports in responses go to the router; a
+ * newer configuration number triggers a fetch of the configuration.
+ */
 const createSideClient = (
   { keeper, now }: Runtime,
   router: Router,
@@ -91,7 +94,7 @@
     },
   );
 
-/** The path of callers' requests. */
+/** Creates the server for callers' requests with its dependencies. */
 const createCallerServer = (
   { keeper, log, metrics, now, store }: Runtime,
   settings: EntrySettings,
@@ -119,7 +122,7 @@
   return new CallerServer({ settings, flow, config, log, now });
 };
 
-/** Control loops, and the server that operators' commands come to. */
+/** Starts the control loops and creates the server for operators' commands. */
 const createOperatorServer = (
   runtime: Runtime,
   settings: EntrySettings,
@@ -161,7 +164,7 @@
   });
 };
 
-/** Routing heeds what the members say of themselves. */
+/** Passes changes of sides' membership state to the router. */
 const followMembers = (
   membership: Membership,
   router: Router,
@@ -187,7 +190,7 @@
       kind === "entry" && domain === settings.domain && state === "alive",
   );
   supervisor.every("vm-list", settings.vmList.pollMs, async () => {
-    // A few of a failure domain read the list; the rest hear from peers.
+    // A few entries per failure domain read the list; others learn by gossip.
     if (!readers.isSelfRanked("vm-list", VM_LIST_READERS)) return;
     noteLeavingVms(await list.read(), keeper, membership, now());
   });
--- a/src/entry/requestFlow.ts
+++ b/src/entry/requestFlow.ts
@@ -1,6 +1,7 @@
 /**
- * One caller's request from its plan to its last byte: claim, attempts,
- * retries within the budget, and the answer with its verdict.
+ * Processes a planned request to the end of its response: the claim of its
+ * idempotency key, attempts, retries within the retry budget, and the response
+ * or a failure with its verdict.
  */
 import { randomUUID } from "node:crypto";
 
@@ -38,12 +39,12 @@
   now: () => number;
 }
 
-/** Shorter prompts are read where their output is produced. */
+/** Shorter prompts are read by the engine that produces the output. */
 const MIN_KV_PROMPT_TOKENS = 1024;
-/** Shorter outputs are not worth a second engine. */
+/** Shorter outputs don't justify the use of a second engine. */
 const MIN_KV_OUTPUT_TOKENS = 8;
 
-/** The route of a request whose prompt has been read by another engine. */
+/** Returns the route of a request whose prompt another engine has read. */
 const toDecodeRoute = (route: RouteRequest): RouteRequest => ({
   ...route,
   phase: "decode",
@@ -51,7 +52,7 @@
   prefixes: [],
 });
 
-/** Runs requests of one entry. */
+/** Processes the requests of one entry. */
 export class RequestFlow {
   private readonly budgets = new Map<string, TokenBucket>();
 
@@ -59,7 +60,7 @@
 
   async run(request: CallerRequest): Promise<void> {
     const { plan, res } = request;
-    const claim = this.claimOf(request);
+    const claim = this.claimRequestFor(request);
     if (claim !== undefined) {
       const answer = await this.options.claims.begin(claim);
       if (answer.kind === "refused") {
@@ -69,40 +70,40 @@
     }
     const controller = new AbortController();
     const deadlineAt = request.arrivedAt + plan.timeoutMs;
-    const left = Math.max(0, deadlineAt - this.options.now());
-    const timer = setTimeout(() => controller.abort(), left);
-    // A never-repeat request is not given up with its caller: its answer is
-    // kept for the repeat.
+    const remainingMs = Math.max(0, deadlineAt - this.options.now());
+    const timer = setTimeout(() => controller.abort(), remainingMs);
+    // A request that must never be repeated goes on if its caller disconnects:
+    // its response is stored, and replayed if the caller sends the key again.
     const onClose = () => {
       if (claim === undefined) controller.abort();
     };
     res.on("close", onClose);
     try {
-      await this.attempts(request, deadlineAt, controller.signal, claim);
+      await this.runAttempts(request, deadlineAt, controller.signal, claim);
     } finally {
       clearTimeout(timer);
       res.removeListener("close", onClose);
     }
   }
 
-  /** Gives the kept answer of the same key again. */
-  private replay(request: CallerRequest, kept: StoredAnswer): void {
-    request.res.writeHead(kept.status, {
-      "content-type": kept.contentType,
+  /** Sends the stored response of an earlier request with the same key. */
+  private replay(request: CallerRequest, stored: StoredAnswer): void {
+    request.res.writeHead(stored.status, {
+      "content-type": stored.contentType,
       [HEADERS.replayed]: "true",
       [HEADERS.requestId]: request.id,
     });
-    request.res.end(kept.body);
+    request.res.end(stored.body);
     this.recordOutcome(request, "replayed");
   }
 
-  /** Answers with a failure and its verdict. */
+  /** Responds with a failure and its verdict. */
   fail(request: CallerRequest, failure: RequestFailure): void {
     sendCallerFailure(request.res, request.id, failure);
     this.recordOutcome(request, failure.code, failure);
   }
 
-  private claimOf(request: CallerRequest): ClaimRequest | undefined {
+  private claimRequestFor(request: CallerRequest): ClaimRequest | undefined {
     const { plan, id } = request;
     if (plan.requestClass.repeat !== "never") return undefined;
     return {
@@ -113,7 +114,7 @@
     };
   }
 
-  private async attempts(
+  private async runAttempts(
     request: CallerRequest,
     deadlineAt: number,
     signal: AbortSignal,
@@ -127,16 +128,21 @@
     this.creditBudget(plan.service.name);
     const kvUrl = await this.prefillElsewhere(request, deadlineAt, signal);
     for (;;) {
-      const whole = this.routeOf(plan, deadlineAt, tried);
+      const fullRoute = this.routeFor(plan, deadlineAt, tried);
       const isFirst = attempts === 0 && kvUrl !== undefined;
-      const route = isFirst ? toDecodeRoute(whole) : whole;
-      const choice = this.choose(route) ?? this.choose(whole);
+      const route = isFirst ? toDecodeRoute(fullRoute) : fullRoute;
+      const choice = this.choose(route) ?? this.choose(fullRoute);
       if (choice === undefined) {
-        return this.giveUp(request, noUpstreamFailure(verdict), relay, claim);
+        return this.endWithFailure(
+          request,
+          noUpstreamFailure(verdict),
+          relay,
+          claim,
+        );
       }
       attempts += 1;
       tried.add(choice.upstream.id);
-      const end = await this.options.attempts.run({
+      const outcome = await this.options.attempts.run({
         request,
         choice,
         route,
@@ -144,40 +150,41 @@
         relay,
         kvUrl: isFirst ? kvUrl : undefined,
       });
-      if (end.kind === "answered")
+      if (outcome.kind === "answered")
         return this.recordOutcome(request, "answered");
-      if (end.kind === "whole") {
-        return this.answer(request, end.answer, claim);
+      if (outcome.kind === "whole") {
+        return this.sendResponse(request, outcome.answer, claim);
       }
-      if (end.kind === "caller-gone")
+      if (outcome.kind === "caller-gone")
         return this.recordOutcome(request, "caller_gone");
-      verdict = worseVerdict(verdict, end.failure.verdict);
-      const failure = { ...end.failure, verdict };
+      verdict = worseVerdict(verdict, outcome.failure.verdict);
+      const failure = { ...outcome.failure, verdict };
       if (request.res.destroyed && claim === undefined) {
         return this.recordOutcome(request, "caller_gone");
       }
       if (signal.aborted) {
         const late = deadlineFailure(verdict);
-        return this.giveUp(request, late, relay, claim);
+        return this.endWithFailure(request, late, relay, claim);
       }
       const now = this.options.now();
       const repeat = plan.requestClass.repeat;
       const decision = decideRetry(
         { failure, repeat, attempts, deadlineAt, now },
-        this.budgetOf(plan.service.name),
+        this.retryBudgetOf(plan.service.name),
       );
       this.budgets.set(plan.service.name, decision.bucket);
       if (decision.kind === "give-up") {
-        return this.giveUp(request, failure, relay, claim);
+        return this.endWithFailure(request, failure, relay, claim);
       }
       this.options.metrics.count("retry", { service: plan.service.name });
     }
   }
 
   /**
-   * Where a service has engines for prefill and for decode, a long prompt is
-   * read by one of the first; its KV cache goes from engine to engine. Any
-   * failure here costs time only: the request goes on as a whole.
+   * If a service has separate prefill and decode engines, has a prefill engine
+   * read a long prompt and returns the URL of its KV cache, which the decode
+   * engine loads. A failure only costs time: undefined is returned and one
+   * engine processes the whole request.
    */
   private async prefillElsewhere(
     request: CallerRequest,
@@ -185,16 +192,20 @@
     signal: AbortSignal,
   ): Promise<string | undefined> {
     const { plan } = request;
-    const isWorth =
+    const isEligible =
       plan.promptTokens >= MIN_KV_PROMPT_TOKENS &&
       plan.outputTokens >= MIN_KV_OUTPUT_TOKENS &&
       plan.requestClass.repeat === "safe";
-    if (!isWorth) return undefined;
+    if (!isEligible) return undefined;
     const { router, attempts, now, metrics } = this.options;
-    const whole = this.routeOf(plan, deadlineAt, new Set());
-    if (router.choose(toDecodeRoute(whole), now()) === undefined)
+    const fullRoute = this.routeFor(plan, deadlineAt, new Set());
+    if (router.choose(toDecodeRoute(fullRoute), now()) === undefined)
       return undefined;
-    const route: RouteRequest = { ...whole, phase: "prefill", outputTokens: 1 };
+    const route: RouteRequest = {
+      ...fullRoute,
+      phase: "prefill",
+      outputTokens: 1,
+    };
     const choice = router.choose(route, now());
     if (choice === undefined) return undefined;
     const relay = undefined;
@@ -211,15 +222,15 @@
     return kvUrl;
   }
 
-  /** Where all have been tried, one that is still usable may go again. */
+  /** Chooses an untried upstream, or a usable one again if all were tried. */
   private choose(route: RouteRequest): Choice | undefined {
     const { router, now } = this.options;
-    const fresh = router.choose(route, now());
-    if (fresh !== undefined || route.tried.size === 0) return fresh;
+    const untried = router.choose(route, now());
+    if (untried !== undefined || route.tried.size === 0) return untried;
     return router.choose({ ...route, tried: new Set() }, now());
   }
 
-  private routeOf(
+  private routeFor(
     plan: RequestPlan,
     deadlineAt: number,
     tried: ReadonlySet<string>,
@@ -236,7 +247,7 @@
     };
   }
 
-  private async answer(
+  private async sendResponse(
     request: CallerRequest,
     answer: WholeResponse,
     claim: ClaimRequest | undefined,
@@ -260,7 +271,7 @@
     this.recordOutcome(request, "answered");
   }
 
-  private async giveUp(
+  private async endWithFailure(
     request: CallerRequest,
     failure: RequestFailure,
     relay: StreamRelay | undefined,
@@ -295,15 +306,18 @@
     });
   }
 
-  private budgetOf(service: string): TokenBucket {
+  private retryBudgetOf(service: string): TokenBucket {
     return this.budgets.get(service) ?? newRetryBudget(this.options.now());
   }
 
   private creditBudget(service: string): void {
     const now = this.options.now();
-    this.budgets.set(service, creditRetryBudget(this.budgetOf(service), now));
+    this.budgets.set(
+      service,
+      creditRetryBudget(this.retryBudgetOf(service), now),
+    );
   }
 }
 
-/** A fresh id of a request. */
+/** Returns a new request id. */
 export const newRequestId = (): string => randomUUID();
--- a/src/entry/requestPlan.ts
+++ b/src/entry/requestPlan.ts
@@ -1,6 +1,6 @@
 /**
- * What a caller's request is: its service, class, deadline and cost. Pure:
- * the configuration and the request come in, a plan or a failure comes out.
+ * Determines the service, class, deadline and cost of a caller's request. Pure
+ * functions of the configuration and the request.
  */
 import type http from "node:http";
 
@@ -17,26 +17,26 @@
 const MAX_WORKSPACE_CHARS = 64;
 const DEFAULT_WORKSPACE = "default";
 
-/** Everything that the later steps need to know of a request. */
+/** Properties of a request that routing and sending it depend on. */
 export interface RequestPlan {
   service: Service;
   requestClass: RequestClass;
   workspace: string;
-  /** From arrival to the end of the answer, ms. */
+  /** Timeout from arrival to the end of the response, ms. */
   timeoutMs: number;
-  /** Whether the answer is a stream of server-sent events. */
+  /** Whether the response is a stream of server-sent events. */
   isStream: boolean;
   promptTokens: number;
   outputTokens: number;
   prefixes: readonly string[];
-  /** Body as it goes to the upstream. */
+  /** Body to send to the upstream. */
   body: Buffer;
   idempotencyKey: string | undefined;
   /** Fingerprint of method, path and body. */
   fingerprint: string;
 }
 
-/** The parts of a request that a plan is made from. */
+/** The parts of a request that its plan is computed from. */
 export interface IncomingRequest {
   method: string;
   path: string;
@@ -100,15 +100,15 @@
   return parsed as ModelBody;
 };
 
-/** The service and the exact version that a model name stands for. */
+/** Resolves a model name to its service and `name@version`. */
 const findModel = (
   config: Config,
-  asked: string,
+  requested: string,
 ): { service: Service; exact: string } | undefined => {
   for (const service of config.services) {
     for (const { name, version } of service.models) {
       const exact = `${name}@${version}`;
-      if (asked === name || asked === exact) return { service, exact };
+      if (requested === name || requested === exact) return { service, exact };
     }
   }
   return undefined;
@@ -140,22 +140,26 @@
       match.method === request.method &&
       request.path.startsWith(match.path),
   );
-  const asked = headerOf(request.headers, HEADERS.className);
-  // A declared match goes first: a header can't make a reservation repeatable.
-  const wanted = matched?.name ?? asked ?? service.defaultClass;
+  const requested = headerOf(request.headers, HEADERS.className);
+  // A declared match takes precedence, so that a header can't mark a reservation
+  // as repeatable.
+  const wanted = matched?.name ?? requested ?? service.defaultClass;
   return service.classes.find((item) => item.name === wanted);
 };
 
-/** A caller may tighten the declared deadline, never loosen it. */
+/**
+ * Returns the timeout, ms; undefined if the header is invalid. A caller may
+ * shorten the declared deadline but not extend it.
+ */
 const timeoutOf = (
   requestClass: RequestClass,
   headers: http.IncomingHttpHeaders,
 ): number | undefined => {
   const text = headerOf(headers, HEADERS.deadline);
   if (text === undefined) return requestClass.deadlineMs;
-  const asked = Number(text);
-  if (!Number.isFinite(asked) || asked <= 0) return undefined;
-  return Math.min(requestClass.deadlineMs, asked);
+  const requestedMs = Number(text);
+  if (!Number.isFinite(requestedMs) || requestedMs <= 0) return undefined;
+  return Math.min(requestClass.deadlineMs, requestedMs);
 };
 
 const planFor = (
@@ -169,12 +173,12 @@
   const { headers } = request;
   const requestClass = selectClass(service, request);
   if (requestClass === undefined) {
-    const asked = headerOf(headers, HEADERS.className) ?? "";
+    const requested = headerOf(headers, HEADERS.className) ?? "";
     const known = service.classes.map((item) => item.name).join(", ");
     return planFailure(
       400,
       "bad_request",
-      `service ${service.name} has no class "${asked}"; it has ${known}`,
+      `service ${service.name} has no class "${requested}"; it has ${known}`,
     );
   }
   const timeoutMs = timeoutOf(requestClass, headers);
@@ -229,8 +233,8 @@
     );
   }
   const prompt = promptOf(body);
-  const asked = body.max_completion_tokens ?? body.max_tokens;
-  const outputTokens = Number(asked ?? DEFAULT_OUTPUT_TOKENS);
+  const requested = body.max_completion_tokens ?? body.max_tokens;
+  const outputTokens = Number(requested ?? DEFAULT_OUTPUT_TOKENS);
   if (!Number.isInteger(outputTokens) || outputTokens < 1) {
     return planFailure(
       400,
@@ -248,7 +252,7 @@
   });
 };
 
-/** Makes the plan of one request. */
+/** Computes the plan of a request, or the failure to return to its caller. */
 export const planRequest = (
   config: Config,
   request: IncomingRequest,
--- a/src/entry/sideClient.ts
+++ b/src/entry/sideClient.ts
@@ -1,4 +1,4 @@
-/** One attempt: a request from an entry to a side. */
+/** HTTP client with which an entry sends requests to sides. */
 import http from "node:http";
 
 import { HEADERS } from "../shared/constants.js";
@@ -7,14 +7,15 @@
 import { errText } from "../shared/utils.js";
 import type { LoadReport } from "../routing/index.js";
 
-/** The head of an answer, or why there is none. */
+/** The head of a response, or the failure if there is none. */
 export type AttemptResult =
   | { kind: "response"; res: http.IncomingMessage; abort: () => void }
   | { kind: "failure"; failure: RequestFailure; fault: Fault };
 
-/** What a failure says of the upstream. */
+/** What a failure implies about the upstream's health. */
 export type Fault = "none" | "refused" | "failing" | "unreachable";
 
+/** One attempt of a request, to be sent to a side. */
 export interface AttemptRequest {
   /** "IP:port" of the side. */
   address: string;
@@ -22,16 +23,16 @@
   path: string;
   headers: http.OutgoingHttpHeaders;
   body: Buffer;
-  /** Longest wait for a connection, ms. */
+  /** Timeout for establishing the connection, ms. */
   connectTimeoutMs: number;
-  /** Longest wait for the head of the answer, ms. */
+  /** Timeout for the head of the response, ms. */
   timeoutMs: number;
   signal: AbortSignal;
 }
 
 const MAX_FAILURE_BYTES = 16_384;
 
-/** Reads the load that a reply carries; undefined where it has none. */
+/** Parses the load report of a response; undefined if absent or invalid. */
 export const parseLoadReport = (
   res: http.IncomingMessage,
 ): LoadReport | undefined => {
@@ -44,7 +45,7 @@
   }
 };
 
-/** Connections to sides, opened on use and closed when they idle. */
+/** Client for sides; its connections are opened on demand and closed if idle. */
 export class SideClient {
   private readonly agent = new http.Agent({
     keepAlive: true,
@@ -61,8 +62,9 @@
   }
 
   /**
-   * Sends the head, waits to be let in, then sends the body. Until the body
-   * is on its way a lost connection proves that nothing ran.
+   * Sends the head, waits until the side admits the request, then sends the
+   * body. If the connection is lost before the body is sent, the request has
+   * certainly not run.
    */
   send(attempt: AttemptRequest): Promise<AttemptResult> {
     return new Promise((resolve) => {
@@ -102,7 +104,7 @@
       req.on("error", (err) => {
         clearTimers();
         attempt.signal.removeEventListener("abort", onAbort);
-        const failure = lostConnection(errText(err), isBodySent);
+        const failure = connectionFailure(errText(err), isBodySent);
         const isAborted = attempt.signal.aborted;
         const fault = isBodySent ? "failing" : "unreachable";
         resolve({
@@ -116,10 +118,10 @@
         res.on("close", () =>
           attempt.signal.removeEventListener("abort", onAbort),
         );
-        this.reportHeaders(res);
+        this.processHeaders(res);
         if (res.headers[HEADERS.verdict] !== undefined) {
           return void readFailure(res).then((failure) => {
-            // Closes the exchange where the body was never asked for.
+            // Closes the connection if the body was never requested.
             if (!isBodySent) req.destroy();
             resolve({ kind: "failure", failure, fault: faultOf(failure) });
           });
@@ -130,7 +132,7 @@
     });
   }
 
-  private reportHeaders(res: http.IncomingMessage): void {
+  private processHeaders(res: http.IncomingMessage): void {
     const upstream = String(res.headers[HEADERS.upstream] ?? "");
     const load = parseLoadReport(res);
     if (load !== undefined) this.onLoad(upstream, load);
@@ -139,7 +141,10 @@
   }
 }
 
-const lostConnection = (why: string, isBodySent: boolean): RequestFailure => ({
+const connectionFailure = (
+  why: string,
+  isBodySent: boolean,
+): RequestFailure => ({
   status: 502,
   code: isBodySent ? "cut" : "unreachable",
   message: `connection to the side: ${why}`,
@@ -170,7 +175,7 @@
     res.on("close", () => resolve(parseFailure(res, chunks)));
   });
 
-/** A failure that can't be read counts by its header alone. */
+/** Parses a failure; if its body is invalid, only the verdict header is used. */
 const parseFailure = (
   res: http.IncomingMessage,
   chunks: Buffer[],
--- a/src/entry/streamRelay.ts
+++ b/src/entry/streamRelay.ts
@@ -1,7 +1,7 @@
 /**
- * Relay of server-sent events to a caller. Only whole events are passed on,
- * each once and in order, so that a stream that is cut can go on from
- * another upstream without a token lost or doubled.
+ * Relays server-sent events to a caller. Only whole events are sent, each once
+ * and in order, so that a truncated stream can be resumed on another upstream
+ * without losing or repeating a token.
  */
 import type http from "node:http";
 
@@ -9,10 +9,13 @@
 
 const DONE = "[DONE]";
 
-/** How one upstream's part of a stream ended. */
+/** How the stream from one upstream ended. */
 export type StreamEnd =
   | { kind: "done" }
-  /** Cut, crossed or out of order: the rest must come from elsewhere. */
+  /**
+   * Truncated, out of order, or with events of another request: the rest must
+   * come from another upstream.
+   */
   | { kind: "cut"; why: string }
   | { kind: "caller-gone" };
 
@@ -21,9 +24,9 @@
   token_index?: number;
 }
 
-/** The caller's side of one stream, over all its attempts. */
+/** Relays one stream to its caller, over all attempts of the request. */
 export class StreamRelay {
-  /** Tokens that the caller holds. */
+  /** Number of tokens sent to the caller. */
   sentTokens = 0;
   private id: string | undefined;
 
@@ -39,7 +42,7 @@
     this.res.flushHeaders();
   }
 
-  /** Passes events on until the upstream's part ends. */
+  /** Relays events until the upstream's stream ends or the caller leaves. */
   relayEvents(upstream: http.IncomingMessage): Promise<StreamEnd> {
     return new Promise((resolve) => {
       let isOver = false;
@@ -66,7 +69,7 @@
       this.res.on("drain", onDrain);
       upstream.on("data", (bytes: Buffer) => {
         parser.feed(decoder.decode(bytes, { stream: true }));
-        // A slow reader holds the upstream back instead of filling memory.
+        // Pauses reading if the caller is slow, which would otherwise fill memory.
         if (this.res.writableNeedDrain) upstream.pause();
       });
       upstream.on("error", () => undefined);
@@ -76,7 +79,7 @@
     });
   }
 
-  /** Tells the caller that the stream ends here, unfinished. */
+  /** Ends the stream with an error event. */
   fail(error: unknown): void {
     if (this.res.destroyed) return;
     this.res.write(`data: ${JSON.stringify({ error })}\n\n`);
@@ -89,7 +92,10 @@
     end({ kind: "done" });
   }
 
-  /** Passes one event on; returns why it can't be, or undefined. */
+  /**
+   * Relays one event, or skips it if the caller already has its token. Returns
+   * the reason if the event is invalid, else undefined.
+   */
   private relayEvent(data: string): string | undefined {
     let chunk: StreamChunk;
     try {
--- a/src/entry/types.ts
+++ b/src/entry/types.ts
@@ -1,14 +1,14 @@
-/** Shapes that the entry's request path shares. */
+/** Types shared by the modules that process callers' requests. */
 import type http from "node:http";
 
 import type { RequestPlan } from "./requestPlan.js";
 
-/** A caller's request with its plan. */
+/** A request from a caller, its response object and its plan. */
 export interface CallerRequest {
   id: string;
   req: http.IncomingMessage;
   res: http.ServerResponse;
   plan: RequestPlan;
-  /** Instant of arrival, ms of the monotonic clock. */
+  /** Arrival time, ms of the monotonic clock. */
   arrivedAt: number;
 }
--- a/src/entry/wholeResponse.ts
+++ b/src/entry/wholeResponse.ts
@@ -1,4 +1,7 @@
-/** Answers that are held until they are whole, so that a cut one is unseen. */
+/**
+ * Buffers a response until it is complete, so that a truncated response never
+ * reaches the caller.
+ */
 import type http from "node:http";
 
 import type { RequestFailure } from "../shared/errors.js";
@@ -13,21 +16,21 @@
   | { kind: "whole"; answer: WholeResponse }
   | { kind: "failure"; failure: RequestFailure };
 
-const cut = (): RequestFailure => ({
+const truncatedFailure = (): RequestFailure => ({
   status: 502,
   code: "cut",
   message: "the answer was cut before its end",
   verdict: "may-have-run",
 });
 
-const tooLarge = (maxBytes: number): RequestFailure => ({
+const tooLargeFailure = (maxBytes: number): RequestFailure => ({
   status: 502,
   code: "answer_too_large",
   message: `the answer is over ${maxBytes} bytes`,
   verdict: "ran",
 });
 
-/** Reads an answer to its end. */
+/** Reads a response to its end; fails if it is truncated or over `maxBytes`. */
 export const readWholeResponse = (
   res: http.IncomingMessage,
   maxBytes: number,
@@ -39,12 +42,13 @@
       size += chunk.length;
       chunks.push(chunk);
       if (size <= maxBytes) return;
-      resolve({ kind: "failure", failure: tooLarge(maxBytes) });
+      resolve({ kind: "failure", failure: tooLargeFailure(maxBytes) });
       res.destroy();
     });
     res.on("error", () => undefined);
     res.on("close", () => {
-      if (!res.complete) return resolve({ kind: "failure", failure: cut() });
+      if (!res.complete)
+        return resolve({ kind: "failure", failure: truncatedFailure() });
       const answer: WholeResponse = {
         status: res.statusCode ?? 0,
         headers: res.headers,
--- a/src/side/orderExecutor.ts
+++ b/src/side/orderExecutor.ts
@@ -180,11 +180,11 @@
     order: Order,
     engine: ModelEngine,
   ): Promise<void> {
-    let tries = 0;
-    while (tries < MAX_ENGINE_ATTEMPTS) {
+    let attempts = 0;
+    while (attempts < MAX_ENGINE_ATTEMPTS) {
       const outcome = await this.engineOutcome(order);
       if (outcome === "done") return this.finish(order, "done", "");
-      if (outcome !== "running") tries += 1;
+      if (outcome !== "running") attempts += 1;
       if (outcome === "absent") await this.sendInWindow(order, engine);
       await sleep(this.options.pollMs);
     }
--- a/src/side/sideGate.ts
+++ b/src/side/sideGate.ts
@@ -15,7 +15,7 @@
 export class SideGate {
   private readonly reasons = new Set<GateReason>();
   private readonly listeners: Listener[] = [];
-  private idleWaiters: Listener[] = [];
+  private idleListeners: Listener[] = [];
   private currentRole: Role = "mixed";
   private readonly roleListeners: Listener[] = [];
 
@@ -58,14 +58,14 @@
   /** Resolves when no request is in flight. */
   whenIdle(): Promise<void> {
     if (this.inFlight() === 0) return Promise.resolve();
-    return new Promise((resolve) => this.idleWaiters.push(resolve));
+    return new Promise((resolve) => this.idleListeners.push(resolve));
   }
 
   /** A request ended. */
   onRequestEnded(): void {
     if (this.inFlight() > 0) return;
-    const waiters = this.idleWaiters;
-    this.idleWaiters = [];
+    const waiters = this.idleListeners;
+    this.idleListeners = [];
     for (const resolve of waiters) resolve();
   }
 
