--- a/src/side/cacheModel.ts
+++ b/src/side/cacheModel.ts
@@ -1,7 +1,8 @@
 /**
- * What the side expects in its engine's prefix cache. The side is the only
- * door to its engine, so what it handed over is what the engine has read;
- * the engine's own cache events come late and with gaps and are not needed.
+ * Models the content of the engine's prefix cache. All requests to the engine
+ * pass through its side, so the prompts sent are the prompts that the engine
+ * has read. The engine's own cache events are late and incomplete, and not
+ * needed.
  */
 import { LRUCache } from "lru-cache";
 
@@ -10,38 +11,38 @@
 export class CacheModel {
   private blocks: LRUCache<string, true>;
 
-  /** `cacheTokens`: size of the engine's cache, tokens. */
+  /** `cacheTokens` is the size of the engine's cache in tokens. */
   constructor(private cacheTokens: number) {
     this.blocks = CacheModel.createCache(cacheTokens);
   }
 
-  /** A new size empties it. */
+  /** Sets the cache size; clears the model if it changed. */
   resize(cacheTokens: number): void {
     if (cacheTokens === this.cacheTokens) return;
     this.cacheTokens = cacheTokens;
     this.clear();
   }
 
-  /** The engine lost its cache. */
+  /** Called when the engine has lost its cache. */
   clear(): void {
     this.blocks = CacheModel.createCache(this.cacheTokens);
   }
 
-  /** Tokens of a prompt that are cached, from its prefixes. */
+  /** Number of cached tokens of a prompt with these prefixes. */
   cachedTokens(prefixes: readonly string[]): number {
     const missing = prefixes.findIndex((prefix) => !this.blocks.has(prefix));
     const count = missing === -1 ? prefixes.length : missing;
     return count * BLOCK_TOKENS;
   }
 
-  /** A prompt was handed to the engine; returns what is new by it. */
+  /** Adds a prompt sent to the engine; returns the prefixes that are new. */
   add(prefixes: readonly string[]): string[] {
     const fresh = prefixes.filter((prefix) => !this.blocks.has(prefix));
     for (const prefix of prefixes) this.blocks.set(prefix, true);
     return fresh;
   }
 
-  /** The prompt was not read after all: its caller went away before. */
+  /** Removes prefixes of a prompt whose caller left before it was read. */
   remove(prefixes: readonly string[]): void {
     for (const prefix of prefixes) this.blocks.delete(prefix);
   }
--- a/src/side/dataServer.ts
+++ b/src/side/dataServer.ts
@@ -1,9 +1,10 @@
 /**
- * The side's HTTP server: admission, then the call to the upstream.
+ * The side's HTTP server for requests: admission, then the call to the
+ * upstream.
  *
- * An entry sends the head of a request first (`Expect: 100-continue`) and
- * its body only after this side has let it in. A connection that is lost
- * before proves that nothing ran.
+ * An entry first sends the head of a request (`Expect: 100-continue`), and its
+ * body only after this side has admitted it. If the connection is lost before
+ * that, the request has certainly not run.
  */
 import http from "node:http";
 
@@ -130,7 +131,7 @@
     };
   }
 
-  /** The load that goes with each reply. */
+  /** Load report, sent with each response. */
   load(): LoadReport {
     const { admission, gate } = this.options;
     return {
@@ -141,7 +142,7 @@
     };
   }
 
-  /** Exact state for entries that ask. */
+  /** Exact current state, for entries that request it. */
   report(storeCalls: number): SideReport {
     const { admission, gate, settings, configNumber } = this.options;
     const { active, queued } = admission.work;
@@ -192,7 +193,10 @@
     }
   }
 
-  /** Prefill ends with the first bytes; the events after it give the pace. */
+  /**
+   * Reports to admission the end of prefill, which is the first data of the
+   * response, and the mean time between the events after it.
+   */
   private observeStream(
     upstream: http.IncomingMessage,
     request: SideRequest,
@@ -219,8 +223,10 @@
     try {
       body = await readBody(req, limits.maxBodyBytes);
     } catch (err) {
-      // The body never came whole, so the upstream saw nothing of it.
-      this.options.log.debug("body not read", { cause: errText(err) });
+      // The body is incomplete, so nothing was sent to the upstream.
+      this.options.log.debug("request body incomplete", {
+        cause: errText(err),
+      });
       return void res.destroy();
     }
     if (res.destroyed) return;
@@ -258,7 +264,7 @@
     this.observeStream(upstream, request);
     upstream.on("error", () => res.destroy());
     upstream.on("close", () => {
-      // Closing without a last chunk tells the entry that it was cut.
+      // Closing without a last chunk tells the entry that the response is cut.
       if (!upstream.complete)
         res.destroy(new Error(connectionLost("cut").message));
     });
--- a/src/side/engineAdmin.ts
+++ b/src/side/engineAdmin.ts
@@ -1,34 +1,34 @@
-/** The orders' interface of a model engine, over HTTP. */
+/** Client for a model engine's admin API over HTTP. */
 import { exchange, ExchangeError } from "../http/index.js";
 import type { OrderAction } from "../control/index.js";
 
-/** What an engine says of itself. */
+/** State reported by an engine. */
 export interface EngineState {
   role: string;
   models: string[];
   adapters: string[];
   highestFence: number;
-  /** Id of the order that it works on. */
+  /** Id of the order in progress. */
   busyWith: string | null;
   lastOrder: { orderId: string; fence: number; outcome: string } | null;
 }
 
-/** What sending an order came to. */
+/** Result of sending an order. */
 export type OrderSendResult =
   | { kind: "started" }
-  /** The engine refused: an old fencing number, or busy. */
+  /** The engine refused (outdated fencing token or busy) or was not reached. */
   | { kind: "refused"; why: string }
-  /** It may have arrived or not: ask the engine for its state. */
+  /** The order may have arrived; the engine's state tells. */
   | { kind: "unknown"; why: string };
 
-/** One order as the engine takes it. */
+/** An order in the format of the engine's admin API. */
 export interface EngineOrder {
   orderId: string;
   fence: number;
   action: OrderAction;
 }
 
-/** Orders and state of a model engine. */
+/** Admin API of a model engine. */
 export interface ModelEngine {
   state(): Promise<EngineState>;
   order(order: EngineOrder): Promise<OrderSendResult>;
--- a/src/side/failures.ts
+++ b/src/side/failures.ts
@@ -1,4 +1,4 @@
-/** The failures that a side tells an entry. */
+/** Failures that a side returns to an entry. */
 import type http from "node:http";
 
 import { sendJson } from "../http/index.js";
@@ -10,7 +10,7 @@
 const HTTP_MISDIRECTED = 421;
 const HTTP_UNAUTHORIZED = 401;
 
-/** Refused before anything was written to the upstream. */
+/** Refused before anything was sent to the upstream. */
 export const refused = (
   code: "overloaded" | "deadline" | "draining" | "leaving",
   retryAfterMs: number,
@@ -36,7 +36,7 @@
   verdict: "not-run",
 });
 
-/** The upstream could not be reached: no byte was written to it. */
+/** The upstream could not be reached, so nothing was sent to it. */
 export const unreachable = (why: string): RequestFailure => ({
   status: HTTP_BAD_GATEWAY,
   code: "unreachable",
@@ -44,7 +44,7 @@
   verdict: "not-run",
 });
 
-/** The connection was lost after bytes were written. */
+/** The connection was lost after data may have been sent. */
 export const connectionLost = (why: string): RequestFailure => ({
   status: HTTP_BAD_GATEWAY,
   code: "cut",
@@ -52,7 +52,7 @@
   verdict: "may-have-run",
 });
 
-/** The answer carries the id of another request. */
+/** The response has the id of another request. */
 export const mismatchedResponse = (): RequestFailure => ({
   status: HTTP_BAD_GATEWAY,
   code: "crossed",
--- a/src/side/orderExecutor.ts
+++ b/src/side/orderExecutor.ts
@@ -1,11 +1,13 @@
 /**
- * Carries out the orders of one upstream, one at a time. The control record
- * is the only authority: a call of another process is a hint to read it.
+ * Executes the orders of one upstream, one at a time. The control record is
+ * the only source of orders; a call from another process only triggers reading
+ * it.
  *
- * Before an order goes to the engine the side writes `started` to the
- * status record, which only the side that has claimed the upstream can, and
- * sends inside a window after that write, by its monotonic clock. A side
- * that was paused past the window writes again, and finds its claim gone.
+ * Before sending an order to the engine, the side writes `started` to the
+ * status record, which only the side that has claimed the upstream can do. It
+ * then sends the order within a time window after that write, measured by its
+ * monotonic clock. A side that was paused beyond the window has to write
+ * again, which fails if another side has claimed the upstream since.
  */
 import { isOrderPending } from "../control/index.js";
 import type {
@@ -29,20 +31,21 @@
   service: string;
   incarnation: string;
   control: ControlStore;
-  /** Absent for a plain service: it takes drains only. */
+  /** Undefined for a plain service, which supports only drain and undrain. */
   engine: ModelEngine | undefined;
   gate: SideGate;
   log: Log;
   now: () => number;
+  /** Time after the `started` write in which an order may be sent, ms. */
   windowMs: number;
-  /** Pause between two questions to the engine, ms. */
+  /** Interval between polls of the engine's state, ms. */
   pollMs: number;
 }
 
 const sleep = (durationMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, durationMs));
 
-/** Another side has claimed the upstream: this one gives no more orders. */
+/** Another side has claimed the upstream; this one sends no more orders. */
 class SupersededError extends Error {}
 
 export class OrderExecutor {
@@ -57,7 +60,7 @@
     return this.isSuperseded;
   }
 
-  /** Reads the control record and does what is open in it. */
+  /** Reads the control record and executes the pending order, if any. */
   async reconcile(): Promise<void> {
     this.isNudged = true;
     if (this.isRunning || this.isSuperseded) return;
@@ -77,7 +80,7 @@
   private onError(err: unknown): void {
     const { log, gate } = this.options;
     if (!(err instanceof SupersededError)) {
-      return log.warn("orders wait", { cause: errText(err) });
+      return log.warn("order execution failed", { cause: errText(err) });
     }
     this.isSuperseded = true;
     gate.close("leaving");
@@ -100,7 +103,7 @@
     await this.readRole();
   }
 
-  /** The role that admission counts with is the engine's own. */
+  /** Sets the role for admission to the one that the engine reports. */
   private async readRole(): Promise<void> {
     const { engine, gate } = this.options;
     if (engine === undefined) return;
@@ -108,7 +111,7 @@
     gate.setRole(ROLES.find((item) => item === role) ?? "mixed");
   }
 
-  /** The upstream is claimed before the first order, after a wait. */
+  /** Claims the upstream before the first order. */
   private async claim(): Promise<void> {
     const { control, upstream, incarnation, windowMs, log } = this.options;
     const before = await control.readStatus(upstream);
@@ -120,11 +123,12 @@
     };
     const expected = before?.version ?? ABSENT;
     const version = await control.writeStatus(upstream, value, expected);
-    if (version === undefined) throw new Error("claim lost a race; again");
+    if (version === undefined)
+      throw new Error("upstream claim conflicted with another write");
     this.status = { value, version };
     if (before === undefined) return;
-    // An older side may still be inside its window: wait it out.
-    log.info("claimed from an older side", { waitMs: windowMs });
+    // A previous side may still be inside its window, so waits until it ends.
+    log.info("upstream claimed from previous side", { waitMs: windowMs });
     await sleep(windowMs);
   }
 
@@ -134,7 +138,7 @@
     else gate.open("draining");
   }
 
-  /** An engine that restarted has lost its role: the order is done again. */
+  /** Sets the role again if the engine has lost it by a restart. */
   private async restoreRole(desired: Desired): Promise<void> {
     const { engine } = this.options;
     if (engine === undefined || this.status?.value.phase === "failed") return;
@@ -162,7 +166,7 @@
     engine: ModelEngine,
   ): Promise<void> {
     const { gate } = this.options;
-    // Loading more beside what is there takes nothing away from requests.
+    // Loading another model or adapter doesn't affect requests in flight.
     const isAdditive =
       order.action.kind === "load-model" ||
       order.action.kind === "load-adapter";
@@ -175,7 +179,7 @@
     }
   }
 
-  /** Asks the engine first, so that an order never runs twice. */
+  /** Checks the engine's state before each send, so that no order runs twice. */
   private async sendUntilDone(
     order: Order,
     engine: ModelEngine,
@@ -195,14 +199,15 @@
     const { now, windowMs, log } = this.options;
     const writtenAt = now();
     const fence = await this.write(order, "started", "");
-    // Checked right before the send: a pause in between shows here.
+    // Checked right before the send, to detect a pause of this process.
     if (now() >= writtenAt + windowMs) return;
     const { id: orderId, action } = order;
     const sent = await engine.order({ orderId, fence, action });
-    if (sent.kind !== "started") log.warn("engine order", { cause: sent.why });
+    if (sent.kind !== "started")
+      log.warn("engine order not started", { cause: sent.why });
   }
 
-  /** What the engine itself says of an order. */
+  /** Returns the state of an order as the engine reports it. */
   private async engineOutcome(
     order: Order,
   ): Promise<"done" | "running" | "absent" | "unreachable"> {
@@ -232,7 +237,10 @@
     this.options.log.info("order finished", { order: order.id, phase });
   }
 
-  /** Writes the status; a conflict means that another side has claimed. */
+  /**
+   * Writes the status and returns its version, the fencing token. Throws a
+   * SupersededError on a conflict: another side has claimed the upstream.
+   */
   private async write(
     order: Order,
     phase: UpstreamStatus["phase"],
--- a/src/side/requestHeaders.ts
+++ b/src/side/requestHeaders.ts
@@ -1,4 +1,4 @@
-/** Reads what an entry says of a request in its head. */
+/** Parses the headers with which an entry describes a request. */
 import type http from "node:http";
 
 import type { Arrival } from "../admission/index.js";
@@ -16,15 +16,16 @@
 const urgencyOf = (value: Value): Urgency =>
   URGENCIES.find((item) => item === value) ?? "normal";
 
-/** Hashes of the prompt's growing prefixes, shortest first. */
+/** Parses the hashes of the prompt's prefixes, shortest first. */
 export const parsePrefixes = (headers: http.IncomingHttpHeaders): string[] => {
   const value = headers[HEADERS.prefixes];
   return typeof value === "string" && value !== "" ? value.split(",") : [];
 };
 
 /**
- * The request as admission sees it. `sequence` keeps two attempts of one
- * request apart; `cachedTokens` of its prompt need no reading.
+ * Parses a request's properties for admission. `sequence` distinguishes
+ * attempts of the same request; `cachedTokens` is the number of prompt tokens
+ * that need no prefill.
  */
 export const parseArrival = (
   headers: http.IncomingHttpHeaders,
--- a/src/side/sideDaemon.ts
+++ b/src/side/sideDaemon.ts
@@ -1,4 +1,4 @@
-/** Role `side`: the only door to its upstream. */
+/** Role `side`: the proxy through which all requests reach its upstream. */
 import { randomUUID } from "node:crypto";
 
 import { Admission } from "../admission/index.js";
@@ -37,7 +37,7 @@
   weightOf: () => 1,
 };
 
-/** Admission's limits as the configuration declares them. */
+/** Returns admission's limits from the configuration. */
 const limitsFrom = (config: Config, serviceName: string): AdmissionLimits => {
   const service = config.services.find((item) => item.name === serviceName);
   if (service === undefined) return DEFAULT_LIMITS;
--- a/src/side/sideGate.ts
+++ b/src/side/sideGate.ts
@@ -1,13 +1,13 @@
 /**
- * Whether the side takes new work, and its engine's role. Several reasons
- * may close it at once; it opens when none is left.
+ * Tracks whether the side accepts new requests, and its engine's role. Several
+ * reasons can close the side at once; it is open when none is left.
  */
 import type { Role } from "../config/index.js";
 import type { SideState } from "../routing/index.js";
 
 export const GATE_REASONS = ["leaving", "draining", "busy"] as const;
 
-/** A reason to take no new work; the first that holds is the state. */
+/** A reason to refuse new requests; the first that applies is the state. */
 export type GateReason = (typeof GATE_REASONS)[number];
 
 type Listener = () => void;
@@ -33,7 +33,7 @@
     return this.currentRole;
   }
 
-  /** The engine's role as it says itself. */
+  /** Sets the role that the engine reports. */
   setRole(role: Role): void {
     if (role === this.currentRole) return;
     this.currentRole = role;
@@ -61,7 +61,7 @@
     return new Promise((resolve) => this.idleListeners.push(resolve));
   }
 
-  /** A request ended. */
+  /** Called when a request ended; resolves `whenIdle` if it was the last. */
   onRequestEnded(): void {
     if (this.inFlight() > 0) return;
     const waiters = this.idleListeners;
--- a/src/side/sideReport.ts
+++ b/src/side/sideReport.ts
@@ -1,4 +1,4 @@
-/** What a side tells entries that ask for its exact state. */
+/** Report of a side's exact state, sent to entries on request. */
 import { z } from "zod/v4";
 
 import { ROLES } from "../config/index.js";
@@ -10,9 +10,9 @@
   state: z.enum(SIDE_STATES),
   inFlight: z.number(),
   queued: z.number(),
-  /** Prompt tokens let in since the start. */
+  /** Total prompt tokens of admitted requests since the process started. */
   prefillTokens: z.number(),
-  /** Output tokens asked for by requests let in since the start. */
+  /** Total output tokens requested by admitted requests since the start. */
   outputTokens: z.number(),
   configNumber: z.number(),
   storeCalls: z.number(),
@@ -20,6 +20,6 @@
 
 export type SideReport = z.infer<typeof sideReportSchema>;
 
-/** Checks a report where it enters an entry. */
+/** Parses a report; throws if it is invalid. */
 export const parseSideReport = (json: string): SideReport =>
   sideReportSchema.parse(JSON.parse(json));
--- a/src/side/streamPace.ts
+++ b/src/side/streamPace.ts
@@ -1,10 +1,10 @@
-/** Time between the events of one stream, from its bytes. */
+/** Measures the mean time between the events of a stream. */
 
 const EVENT_END = Buffer.from("\n\n");
-/** Shorter streams say little about the pace. */
+/** Streams with fewer events are too short for an estimate. */
 const MIN_EVENTS = 4;
 
-/** Server-sent events that end in these bytes. */
+/** Counts the server-sent events that end in `bytes`. */
 const countEvents = (bytes: Buffer): number => {
   let count = 0;
   let at = bytes.indexOf(EVENT_END);
--- a/src/side/types.ts
+++ b/src/side/types.ts
@@ -1,16 +1,19 @@
-/** Shapes of the side's request path. */
+/** Types of the side's request processing. */
 import type http from "node:http";
 
 import type { Arrival } from "../admission/index.js";
 
-/** One request at the side, between its head and its last byte. */
+/** A request in progress at the side. */
 export interface SideRequest {
   id: string;
   req: http.IncomingMessage;
   res: http.ServerResponse;
   arrival: Arrival;
-  /** Hashes of the prompt's growing prefixes. */
+  /** Hashes of the prompt's prefixes, shortest first. */
   prefixes: readonly string[];
-  /** Prefixes that count as cached by it, until its prompt is read. */
+  /**
+   * Prefixes that this request added to the cache model, until the engine has
+   * read its prompt.
+   */
   pendingPrefixes: readonly string[];
 }
--- a/src/side/upstreamCall.ts
+++ b/src/side/upstreamCall.ts
@@ -1,4 +1,4 @@
-/** One call from a side to its upstream. */
+/** Sends a request from a side to its upstream. */
 import http from "node:http";
 
 import { passedHeaders } from "../http/index.js";
@@ -7,7 +7,7 @@
 import { errText } from "../shared/utils.js";
 import { mismatchedResponse, connectionLost, unreachable } from "./failures.js";
 
-/** Internal headers that the upstream reads. */
+/** Internal headers that are passed to the upstream. */
 const UPSTREAM_HEADERS: readonly string[] = [
   HEADERS.urgency,
   HEADERS.resumeFrom,
@@ -16,7 +16,7 @@
   HEADERS.kvImport,
 ];
 
-/** What the call came to once the upstream's head is here. */
+/** Result of a call: the head of the response, or a failure. */
 export type UpstreamResult =
   | { kind: "response"; res: http.IncomingMessage; req: http.ClientRequest }
   | { kind: "failure"; failure: RequestFailure };
@@ -28,11 +28,11 @@
   body: Buffer;
   requestId: string;
   echoesRequestId: boolean;
-  /** Called with the request, so that it can be cancelled. */
+  /** Called with the request to the upstream, so that it can be cancelled. */
   onRequest: (req: http.ClientRequest) => void;
 }
 
-/** Writes the request and waits for the head of the answer. */
+/** Sends the request and waits for the head of the response. */
 export const callUpstream = (
   options: UpstreamCallOptions,
 ): Promise<UpstreamResult> =>
