--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -15,11 +15,11 @@
 /** Exit codes that scripts can rely on. */
 const EXIT = {
   ok: 0,
-  /** Refused, or another operator was faster. */
+  /** Refused, or in conflict with another operator's command. */
   refused: 1,
-  /** The statement or the file is wrong. */
+  /** The statement or the file is invalid. */
   usage: 2,
-  /** No entry answered, or it could not carry the command out now. */
+  /** No entry responded, or it could not execute the command now. */
   unreachable: 3,
   unauthorized: 4,
 } as const;
@@ -49,7 +49,7 @@
 const printError = (text: string): void =>
   void process.stderr.write(`${text}\n`);
 
-/** Shows an answer and gives the exit code that it stands for. */
+/** Prints a response and returns its exit code. */
 const show = (
   answer: OperatorAnswer,
   statement: string,
@@ -96,7 +96,7 @@
     return show(answer, statement, flags.json ?? false);
   });
 
-/** A file that can't be read counts as wrong use. */
+/** Reads a file; a failure throws a TypeError, which is a usage error. */
 const readFile = (file: string): string => {
   try {
     return readText(file);
@@ -116,7 +116,7 @@
     return EXIT.usage;
   });
 
-/** Waits until the newest order of an upstream is finished. */
+/** Waits until the latest order of an upstream is finished. */
 const runWatch = (upstream: string, flags: Flags) =>
   runCommand(async () => {
     const target = targetOf(flags);
@@ -135,7 +135,7 @@
     }
   });
 
-/** Joins log files of several processes into the story of one request. */
+/** Prints the log lines of a request, collected from several log files. */
 const runStory = (requestId: string, files: string[], flags: Flags) =>
   runCommand(async () => {
     if (files.length === 0) throw new TypeError("a log file is needed");
--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -1,4 +1,4 @@
-/** Talks to the operators' server of an entry. */
+/** Client for the operators' server of an entry. */
 import { exchange } from "../http/index.js";
 import type { OperatorAnswer } from "../operator/operatorServer.js";
 
@@ -11,7 +11,7 @@
   operator: string;
 }
 
-/** Sends a statement or a configuration; rejects where nobody answers. */
+/** Sends a statement or a configuration; rejects if the entry doesn't respond. */
 export const sendToEntry = async (
   target: OperatorTarget,
   path: "/command" | "/config",
--- a/src/cli/render.ts
+++ b/src/cli/render.ts
@@ -1,4 +1,4 @@
-/** Answers as text for people. */
+/** Renders responses as text. */
 import Table from "cli-table3";
 
 import type { Row } from "../query/index.js";
@@ -15,7 +15,7 @@
   return `${table.toString()}\n${count}`;
 };
 
-/** The statement with a mark under the place that is wrong. */
+/** Renders a statement with its error and a marker at its position. */
 export const renderSyntax = (
   statement: string,
   text: string,
--- a/src/cli/requestStory.ts
+++ b/src/cli/requestStory.ts
@@ -1,10 +1,10 @@
 /**
- * One request's story out of the log files of several processes: its own
- * lines, and what its processes came to believe shortly before. Pure.
+ * Collects the log lines of one request from the logs of several processes,
+ * and as context the state changes that those processes logged around it.
  */
 import { z } from "zod/v4";
 
-/** A line of a log; fields besides these depend on its message. */
+/** A log line; its other fields depend on the message. */
 const lineSchema = z.looseObject({
   time: z.iso.datetime(),
   process: z.string().default(""),
@@ -13,25 +13,27 @@
 
 export type LogLine = z.infer<typeof lineSchema>;
 
-/** What the lines of a file came to. */
+/** Log lines of a file. */
 export interface ParsedLog {
   lines: LogLine[];
-  /** Lines that are not of the log's form. */
+  /** Number of lines with invalid format. */
   unreadable: number;
 }
 
-/** Lines of one request, in the order of their time. */
+/** Log lines of a request and their context, sorted by time. */
 export interface RequestStory {
   own: LogLine[];
-  /** Lines on its replicas and processes that may explain it. */
+  /** Lines about its replicas and processes that may explain its outcome. */
   context: LogLine[];
 }
 
-/** Context from so long before the first line to so long after the last, ms;
- * clocks of VMs may differ by a good part of it. */
+/**
+ * Context lines are included from this long before the request's first line to
+ * this long after its last, ms; this allows for clock differences between VMs.
+ */
 const CONTEXT_BEFORE_MS = 5000;
 const CONTEXT_AFTER_MS = 1000;
-/** Messages on what a process believes; requests' lines are no context. */
+/** Messages about state changes of a process, which count as context. */
 const CONTEXT_MESSAGES: ReadonlySet<string> = new Set([
   "replica added",
   "replica changed",
@@ -54,20 +56,23 @@
   "started",
   "stopping",
 ]);
-/** Messages on one request as such, over all its returns and entries. */
+/**
+ * Messages about a request digest, across repeated sends of the same request
+ * and all entries.
+ */
 const DIGEST_MESSAGES: ReadonlySet<string> = new Set([
   "replica ended",
   "request quarantined",
   "quarantine changed",
   "quarantine trial ended",
 ]);
-/** Fields of lines that name replicas. */
+/** Fields that contain a replica id. */
 const REPLICA_FIELDS = ["replica", "reader", "runner", "donor"] as const;
 
-/** Fields that say nothing in a story. */
+/** Fields that are not printed. */
 const HIDDEN_FIELDS: ReadonlySet<string> = new Set(["level", "requestId"]);
 
-/** Reads log lines; a line may have other text before its object. */
+/** Parses log lines; other text may precede a line's JSON object. */
 export const parseLog = (text: string): ParsedLog => {
   const lines: LogLine[] = [];
   let unreadable = 0;
@@ -85,7 +90,7 @@
   try {
     return lineSchema.parse(JSON.parse(text));
   } catch {
-    // Counted by the caller, which tells how many were left out.
+    // The caller counts and reports the lines left out.
     return undefined;
   }
 };
@@ -106,7 +111,7 @@
   return found;
 };
 
-/** Digests that a line names, in one field or a list. */
+/** Digests in a line, from the `digest` field or the `digests` list. */
 const digestsIn = ({ digest, digests }: LogLine): string[] =>
   [digest, digests].flatMap((text) =>
     typeof text === "string" ? text.split(",") : [],
@@ -126,7 +131,7 @@
   const replicas = replicasIn(own);
   const digests = new Set(own.flatMap(digestsIn));
   const isContext = (line: LogLine): boolean => {
-    // Ends of replicas under the same request, however long ago.
+    // Replicas that ended while running the same request, at any time.
     if (DIGEST_MESSAGES.has(line.message)) {
       return digestsIn(line).some((digest) => digests.has(digest));
     }
@@ -146,7 +151,7 @@
   return [time, process, message, ...rest].join("  ");
 };
 
-/** The story as text: context first, then the request's own lines. */
+/** Renders a story as text: context first, then the request's own lines. */
 export const renderStory = ({ own, context }: RequestStory): string => {
   const before = context.map((line) => `  ${renderLine(line)}`);
   return [
--- a/src/operator/actions/actionCutover.ts
+++ b/src/operator/actions/actionCutover.ts
@@ -11,7 +11,7 @@
 
 const MAX_PERCENT = 100;
 
-/** Moves a share of a service's traffic to a site. */
+/** Sets a site's share of a service's traffic. */
 export const actionCutover: Action = {
   name: "cutover",
   keywords: ["site", "share", "migrate", "move"],
--- a/src/operator/actions/actionDrain.ts
+++ b/src/operator/actions/actionDrain.ts
@@ -2,7 +2,7 @@
 import { requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
-/** Takes no new work to an upstream; requests in flight end. */
+/** Stops sending new requests to an upstream; requests in flight complete. */
 export const actionDrain: Action = {
   name: "drain",
   keywords: ["stop", "empty", "maintenance"],
--- a/src/operator/actions/actionExplain.ts
+++ b/src/operator/actions/actionExplain.ts
@@ -37,7 +37,7 @@
   return { kind: "table", columns, rows };
 };
 
-/** Says why traffic goes where it goes, and why roles are as they are. */
+/** Explains routing decisions and role plans. */
 export const actionExplain: Action = {
   name: "explain",
   keywords: ["why", "route", "roles"],
--- a/src/operator/actions/actionLoad.ts
+++ b/src/operator/actions/actionLoad.ts
@@ -4,7 +4,7 @@
 import { requireOption, requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
-/** Loads a model version or an adapter beside what an engine has. */
+/** Loads an additional model version or adapter on an engine. */
 export const actionLoad: Action = {
   name: "load",
   keywords: ["model", "adapter", "version"],
--- a/src/operator/actions/actionRole.ts
+++ b/src/operator/actions/actionRole.ts
@@ -4,7 +4,7 @@
 import { requireOption, requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
-/** Changes what kind of work an engine is set up for. */
+/** Changes the role of an engine: mixed, prefill or decode. */
 export const actionRole: Action = {
   name: "role",
   keywords: ["prefill", "decode", "mixed", "change"],
--- a/src/operator/actions/actionShow.ts
+++ b/src/operator/actions/actionShow.ts
@@ -3,7 +3,7 @@
 import type { Action } from "../types.js";
 import { VIEWS } from "../views/index.js";
 
-/** Shows a table, filtered by conditions. */
+/** Shows a table, filtered by the statement's conditions. */
 export const actionShow: Action = {
   name: "show",
   keywords: ["list", "table", "state", "where"],
--- a/src/operator/actions/actionUndrain.ts
+++ b/src/operator/actions/actionUndrain.ts
@@ -2,7 +2,7 @@
 import { requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
-/** Lets a drained upstream take work again. */
+/** Resumes sending requests to a drained upstream. */
 export const actionUndrain: Action = {
   name: "undrain",
   keywords: ["resume", "open", "return"],
--- a/src/operator/actions/actionUnload.ts
+++ b/src/operator/actions/actionUnload.ts
@@ -3,7 +3,7 @@
 import { requireOption, requireWord } from "../lookup.js";
 import type { Action } from "../types.js";
 
-/** Removes a model version from an engine, once nothing is in flight. */
+/** Unloads a model version from an engine when no request is in flight. */
 export const actionUnload: Action = {
   name: "unload",
   keywords: ["model", "remove"],
--- a/src/operator/actions/index.ts
+++ b/src/operator/actions/index.ts
@@ -1,4 +1,4 @@
-/** Every command of the language; a new one is added to this list. */
+/** List of all commands; new commands are added here. */
 import { actionCutover } from "./actionCutover.js";
 import { actionDrain } from "./actionDrain.js";
 import { actionExplain } from "./actionExplain.js";
--- a/src/operator/giveUpstreamOrder.ts
+++ b/src/operator/giveUpstreamOrder.ts
@@ -1,4 +1,4 @@
-/** Gives an order to one upstream and words what came of it. */
+/** Gives an order to an upstream and describes the result to the operator. */
 import { randomUUID } from "node:crypto";
 
 import type { OrderAction } from "../control/index.js";
@@ -25,7 +25,7 @@
       ctx.link
         .nudge(upstream.peerAddress, { upstream: upstream.id, seq })
         .catch(
-          // The holder of the lease reminds the side again.
+          // The lease holder's control loop notifies the side again.
           () => undefined,
         );
       const text = `order ${seq} of ${upstream.id} accepted (${action.kind})`;
--- a/src/operator/lookup.ts
+++ b/src/operator/lookup.ts
@@ -1,4 +1,7 @@
-/** Finds what a statement names, or says what there is instead. */
+/**
+ * Looks up the upstreams and services that a statement names. Throws a
+ * StatementError with the existing names if there is no match.
+ */
 import type { Config, Service } from "../config/index.js";
 import { StatementError } from "../query/index.js";
 import type { ParsedValue, Statement } from "../query/index.js";
@@ -17,27 +20,31 @@
   return state.config;
 };
 
-/** The word at `index`, or an error that says what belongs there. */
+/**
+ * Returns the word at `index`; throws a StatementError with `expected` if it is
+ * missing.
+ */
 export const requireWord = (
   statement: Statement,
   index: number,
-  what: string,
+  expected: string,
 ): ParsedValue => {
   const word = statement.words[index];
   if (word !== undefined) return word;
-  throw new StatementError(`expected ${what}`, endOf(statement));
+  throw new StatementError(`expected ${expected}`, endOf(statement));
 };
 
 export const requireOption = (
   statement: Statement,
   name: string,
-  what: string,
+  expected: string,
 ): ParsedValue => {
   const value = statement.options[name];
   if (value !== undefined) return value;
-  throw new StatementError(`expected "${name}" ${what}`, endOf(statement));
+  throw new StatementError(`expected "${name}" ${expected}`, endOf(statement));
 };
 
+/** Position after the last word or option of a statement. */
 const endOf = (statement: Statement): number => {
   const values = [...statement.words, ...Object.values(statement.options)];
   const ends = values.map((value) => value.at + value.text.length);
--- a/src/operator/operatorServer.ts
+++ b/src/operator/operatorServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that the operators' command line talks to. */
+/** HTTP server for the operators' command line. */
 import http from "node:http";
 
 import { applyConfig, configSchema } from "../config/index.js";
@@ -15,13 +15,13 @@
 const MAX_NAME_CHARS = 64;
 const BEARER = "Bearer ";
 
-/** What the command line gets back. */
+/** Response to the command line. */
 export type OperatorAnswer =
   | ActionResult
-  /** The statement is wrong at `at`. */
+  /** The statement has an error at position `at`. */
   | { kind: "syntax"; text: string; at: number }
   | { kind: "unauthorized"; text: string }
-  /** It could not be carried out now. */
+  /** The command could not be executed now. */
   | { kind: "failed"; text: string };
 
 const STATUS: Record<OperatorAnswer["kind"], number> = {
@@ -60,10 +60,12 @@
   }
 
   private async answer(req: http.IncomingMessage): Promise<OperatorAnswer> {
-    const denied = this.denied(req);
-    if (denied !== undefined) return { kind: "unauthorized", text: denied };
+    const authError = this.authErrorOf(req);
+    if (authError !== undefined) {
+      return { kind: "unauthorized", text: authError };
+    }
     const body = await readBody(req, MAX_BODY_BYTES);
-    const by = this.nameOf(req);
+    const by = this.operatorNameOf(req);
     const ctx: OperatorContext = { ...this.options.context, by };
     const text = body.toString("utf8");
     switch (`${req.method} ${req.url}`) {
@@ -76,19 +78,20 @@
     }
   }
 
-  private denied(req: http.IncomingMessage): string | undefined {
+  /** Returns why a request is not authorized; undefined if it is. */
+  private authErrorOf(req: http.IncomingMessage): string | undefined {
     const { token } = this.options;
     if (token === undefined) {
       return "this entry has no operatorToken: commands are refused";
     }
     const given = req.headers.authorization ?? "";
-    const isRight =
+    const isValid =
       given.startsWith(BEARER) &&
       isSameSecret(given.slice(BEARER.length), token);
-    return isRight ? undefined : "the operator token is wrong";
+    return isValid ? undefined : "the operator token is wrong";
   }
 
-  private nameOf(req: http.IncomingMessage): string {
+  private operatorNameOf(req: http.IncomingMessage): string {
     const name = String(req.headers["x-operator"] ?? "operator");
     return name.slice(0, MAX_NAME_CHARS);
   }
@@ -137,13 +140,13 @@
   }
 }
 
-/** Points at the verb and at commands whose keywords fit. */
+/** Error for an unknown verb, with the usage of commands that match it. */
 const unknownVerb = (verb: string): StatementError => {
-  const fitting = ACTIONS.filter(
+  const matching = ACTIONS.filter(
     (item) =>
       item.keywords.includes(verb) || item.name.startsWith(verb.slice(0, 2)),
   );
-  const shown = fitting.length > 0 ? fitting : ACTIONS;
+  const shown = matching.length > 0 ? matching : ACTIONS;
   const usages = shown.map((item) => item.usage).join("; ");
   return new StatementError(`no command "${verb}"; try ${usages}`, 0);
 };
--- a/src/operator/shares.ts
+++ b/src/operator/shares.ts
@@ -1,11 +1,14 @@
-/** Arithmetic of a cutover's shares. */
+/** Computes the traffic shares of sites for a cutover. */
 import type { Config, Service } from "../config/index.js";
 import { StatementError } from "../query/index.js";
 import type { ParsedValue } from "../query/index.js";
 
 const MAX_PERCENT = 100;
 
-/** Shares by number of upstreams, where none are declared. */
+/**
+ * Returns a service's shares by site, in percent. If none are declared, they
+ * are proportional to the number of upstreams.
+ */
 const sharesOf = (service: Service): Record<string, number> => {
   if (service.shares !== undefined) return service.shares;
   const shares: Record<string, number> = {};
@@ -16,7 +19,10 @@
   return shares;
 };
 
-/** The others keep their proportions in what is left. */
+/**
+ * Sets the share of a site, in percent. The other sites share the rest in
+ * their current proportions.
+ */
 export const moveShare = (
   shares: Record<string, number>,
   site: string,
@@ -24,15 +30,20 @@
 ): Record<string, number> => {
   const others = Object.entries(shares).filter(([name]) => name !== site);
   const before = others.reduce((sum, [, share]) => sum + share, 0);
-  const left = MAX_PERCENT - percent;
+  const remaining = MAX_PERCENT - percent;
   const next: Record<string, number> = { [site]: percent };
   for (const [name, share] of others) {
-    next[name] = before === 0 ? left / others.length : (share / before) * left;
+    next[name] =
+      before === 0 ? remaining / others.length : (share / before) * remaining;
   }
   return next;
 };
 
-/** The configuration with one site's share of a service set. */
+/**
+ * Returns the configuration with a site's share of a service set, in percent.
+ * Throws a StatementError if the service has no upstream at the site, or if it
+ * is the only site and would get less than 100 %.
+ */
 export const withShare = (
   config: Config,
   service: Service,
--- a/src/operator/types.ts
+++ b/src/operator/types.ts
@@ -1,4 +1,4 @@
-/** Shapes of the operators' commands. */
+/** Types of the operators' commands. */
 import type { ConfigKeeper, Service, Upstream } from "../config/index.js";
 import type { ControlStore } from "../control/index.js";
 import type { Membership } from "../membership/index.js";
@@ -9,7 +9,7 @@
 import type { BudgetedStore } from "../store/index.js";
 import type { Metrics } from "../telemetry/index.js";
 
-/** What commands may use. */
+/** Dependencies available to commands. */
 export interface OperatorContext {
   keeper: ConfigKeeper;
   control: ControlStore;
@@ -18,33 +18,33 @@
   membership: Membership;
   metrics: Metrics;
   link: PeerLink;
-  /** The newest plan of roles, where this entry made one. */
+  /** Latest role plan of a service; undefined if this entry made none. */
   planOf: (service: string) => RolePlan | undefined;
   now: () => number;
-  /** Who gives the command. */
+  /** Name of the operator. */
   by: string;
 }
 
-/** What a command gives back. */
+/** Result of a command. */
 export type ActionResult =
   | { kind: "table"; columns: readonly string[]; rows: Row[] }
   | { kind: "message"; text: string; order?: string }
-  /** Refused, or lost against another operator. */
+  /** Refused, or in conflict with another operator's command. */
   | { kind: "refused"; text: string };
 
-/** One command of the language; each stands in a file of its own. */
+/** A command of the statement language; each has its own file. */
 export interface Action {
-  /** The verb that it is called by. */
+  /** The verb that selects it. */
   name: string;
-  /** Words that lead a searching operator to it. */
+  /** Related words, by which an unknown verb suggests this command. */
   keywords: readonly string[];
-  /** How it is written. */
+  /** Syntax of the command. */
   usage: string;
   example: string;
   perform(ctx: OperatorContext, statement: Statement): Promise<ActionResult>;
 }
 
-/** One table that `show` knows. */
+/** A table for the `show` command. */
 export interface View {
   name: string;
   columns: readonly string[];
--- a/src/operator/views/index.ts
+++ b/src/operator/views/index.ts
@@ -1,4 +1,4 @@
-/** Every table that `show` knows; a new one is added to this list. */
+/** List of all tables for `show`; new tables are added here. */
 import type { View } from "../types.js";
 import { viewCounters } from "./viewCounters.js";
 import { viewEngines } from "./viewEngines.js";
--- a/src/operator/views/viewCounters.ts
+++ b/src/operator/views/viewCounters.ts
@@ -1,6 +1,6 @@
 import type { View } from "../types.js";
 
-/** What this entry has counted since its start. */
+/** Counters of this entry since it started. */
 export const viewCounters: View = {
   name: "counters",
   columns: ["counter", "value"],
--- a/src/operator/views/viewEngines.ts
+++ b/src/operator/views/viewEngines.ts
@@ -33,7 +33,7 @@
   return `${seq} ${action.kind}${value} ${phase}`;
 };
 
-/** Asks the side itself: no report of an entry is as exact. */
+/** Fetches the state from the side, as an entry's own view is less exact. */
 const rowOf = async (
   ctx: OperatorContext,
   service: Service,
@@ -60,7 +60,7 @@
   }
 };
 
-/** Every upstream with its exact state. */
+/** All upstreams with their exact states. */
 export const viewEngines: View = {
   name: "engines",
   columns: COLUMNS,
@@ -74,7 +74,7 @@
         records.set(name, (await ctx.control.readControl(name)).value);
       }
     } catch {
-      // Without the object API the states are shown, the orders are not.
+      // If the object API is unavailable, states are shown without orders.
     }
     const rows = services.flatMap((service) =>
       service.upstreams.map((upstream) => {
--- a/src/operator/views/viewLatency.ts
+++ b/src/operator/views/viewLatency.ts
@@ -1,6 +1,6 @@
 import type { View } from "../types.js";
 
-/** Latency by class and by workspace at this entry, in ms. */
+/** Latency percentiles by class and by workspace at this entry, ms. */
 export const viewLatency: View = {
   name: "latency",
   columns: ["name", "count", "p50", "p95", "p99"],
--- a/src/operator/views/viewLeases.ts
+++ b/src/operator/views/viewLeases.ts
@@ -1,6 +1,6 @@
 import type { View } from "../types.js";
 
-/** Who runs the control loop of each service. */
+/** The lease holder of each service, which runs its control loop. */
 export const viewLeases: View = {
   name: "leases",
   columns: ["service", "holder", "epoch"],
--- a/src/operator/views/viewMembers.ts
+++ b/src/operator/views/viewMembers.ts
@@ -1,6 +1,6 @@
 import type { View } from "../types.js";
 
-/** The processes of the system, as this entry knows them. */
+/** Members of the fleet as known to this entry. */
 export const viewMembers: View = {
   name: "members",
   columns: ["id", "kind", "state", "domain", "role", "address"],
--- a/src/operator/views/viewServices.ts
+++ b/src/operator/views/viewServices.ts
@@ -1,6 +1,6 @@
 import type { View } from "../types.js";
 
-/** Every service as it is declared. */
+/** All services as configured. */
 export const viewServices: View = {
   name: "services",
   columns: ["service", "kind", "models", "upstreams", "classes", "shares"],
--- a/src/operator/views/viewSites.ts
+++ b/src/operator/views/viewSites.ts
@@ -1,6 +1,6 @@
 import type { View } from "../types.js";
 
-/** Sites with their failure domains and number of upstreams. */
+/** Sites with their regions, failure domains and numbers of upstreams. */
 export const viewSites: View = {
   name: "sites",
   columns: ["site", "region", "domain", "upstreams"],
