--- a/src/cli/requestStory.ts
+++ b/src/cli/requestStory.ts
@@ -29,7 +29,7 @@
 
 /**
  * Context lines are included from this long before the request's first line to
- * this long after its last, ms; this allows for clock differences between VMs.
+ * this long after its last, ms. Clocks of VMs may differ by a large part of it.
  */
 const CONTEXT_BEFORE_MS = 5000;
 const CONTEXT_AFTER_MS = 1000;
--- a/src/entry/requestFlow.ts
+++ b/src/entry/requestFlow.ts
@@ -69,7 +69,7 @@
       if (answer.kind === "replay") return this.replay(request, answer.answer);
     }
     const controller = new AbortController();
-    const deadlineAt = request.arrivedAt + plan.timeoutMs;
+    const deadlineAt = request.arrivedAt + plan.budgetMs;
     const remainingMs = Math.max(0, deadlineAt - this.options.now());
     const timer = setTimeout(() => controller.abort(), remainingMs);
     // A request that must never be repeated goes on if its caller disconnects:
--- a/src/entry/requestPlan.ts
+++ b/src/entry/requestPlan.ts
@@ -22,8 +22,8 @@
   service: Service;
   requestClass: RequestClass;
   workspace: string;
-  /** Timeout from arrival to the end of the response, ms. */
-  timeoutMs: number;
+  /** Time budget from arrival to the end of the response, ms. */
+  budgetMs: number;
   /** Whether the response is a stream of server-sent events. */
   isStream: boolean;
   promptTokens: number;
@@ -148,10 +148,10 @@
 };
 
 /**
- * Returns the timeout, ms; undefined if the header is invalid. A caller may
- * shorten the declared deadline but not extend it.
+ * Returns the time budget, ms; undefined if the header is invalid. A caller
+ * may shorten the declared deadline but not extend it.
  */
-const timeoutOf = (
+const budgetOf = (
   requestClass: RequestClass,
   headers: http.IncomingHttpHeaders,
 ): number | undefined => {
@@ -181,8 +181,8 @@
       `service ${service.name} has no class "${requested}"; it has ${known}`,
     );
   }
-  const timeoutMs = timeoutOf(requestClass, headers);
-  if (timeoutMs === undefined) {
+  const budgetMs = budgetOf(requestClass, headers);
+  if (budgetMs === undefined) {
     return planFailure(
       400,
       "bad_request",
@@ -210,7 +210,7 @@
     service,
     requestClass,
     workspace,
-    timeoutMs,
+    budgetMs,
     idempotencyKey: key,
     fingerprint: fingerprint(`${method} ${path}\n${body.toString("utf8")}`),
     ...cost,
--- a/src/operator/actions/actionExplain.ts
+++ b/src/operator/actions/actionExplain.ts
@@ -44,14 +44,14 @@
   usage: "explain route SERVICE [class NAME] | explain roles SERVICE",
   example: "explain roles parts-model",
   perform: async (ctx, statement) => {
-    const what = requireWord(statement, 0, "route or roles");
+    const subject = requireWord(statement, 0, "route or roles");
     const service = findService(ctx, requireWord(statement, 1, "a service"));
-    if (what.text === "route") {
+    if (subject.text === "route") {
       const name = statement.options.class?.text ?? service.defaultClass;
       return explainRoute(ctx, service, name);
     }
-    if (what.text !== "roles") {
-      throw new StatementError("expected route or roles", what.at);
+    if (subject.text !== "roles") {
+      throw new StatementError("expected route or roles", subject.at);
     }
     const plan = ctx.planOf(service.name);
     if (plan === undefined) {
--- a/src/operator/actions/actionLoad.ts
+++ b/src/operator/actions/actionLoad.ts
@@ -11,13 +11,13 @@
   usage: "load model|adapter NAME@VERSION on UPSTREAM",
   example: "load model parts-8b@2 on parts-1",
   perform: (ctx, statement) => {
-    const what = requireWord(statement, 0, "model or adapter");
+    const kindWord = requireWord(statement, 0, "model or adapter");
     const { text: value } = requireWord(statement, 1, "a name@version");
     const name = requireOption(statement, "on", "an engine");
-    const isKnown = what.text === "model" || what.text === "adapter";
+    const isKnown = kindWord.text === "model" || kindWord.text === "adapter";
     if (!isKnown)
-      throw new StatementError("expected model or adapter", what.at);
-    const kind = what.text === "model" ? "load-model" : "load-adapter";
+      throw new StatementError("expected model or adapter", kindWord.at);
+    const kind = kindWord.text === "model" ? "load-model" : "load-adapter";
     const action: OrderAction = { kind, value };
     return giveUpstreamOrder(ctx, name, action);
   },
--- a/src/operator/actions/actionShow.ts
+++ b/src/operator/actions/actionShow.ts
@@ -10,12 +10,12 @@
   usage: `show ${VIEWS.map((view) => view.name).join("|")} [where ...]`,
   example: "show engines where site = bilbao and state = draining",
   perform: async (ctx, statement) => {
-    const what = requireWord(statement, 0, "a table");
-    const view = VIEWS.find((item) => item.name === what.text);
+    const tableName = requireWord(statement, 0, "a table");
+    const view = VIEWS.find((item) => item.name === tableName.text);
     if (view === undefined) {
       const known = VIEWS.map((item) => item.name).join(", ");
-      const text = `no table "${what.text}"; there are ${known}`;
-      throw new StatementError(text, what.at);
+      const text = `no table "${tableName.text}"; there are ${known}`;
+      throw new StatementError(text, tableName.at);
     }
     const all = await view.rows(ctx);
     const rows = filterRows(all, view.columns, statement);
--- a/src/operator/actions/actionUnload.ts
+++ b/src/operator/actions/actionUnload.ts
@@ -10,9 +10,9 @@
   usage: "unload model NAME@VERSION on UPSTREAM",
   example: "unload model parts-8b@1 on parts-1",
   perform: (ctx, statement) => {
-    const what = requireWord(statement, 0, "model");
-    if (what.text !== "model")
-      throw new StatementError("expected model", what.at);
+    const kindWord = requireWord(statement, 0, "model");
+    if (kindWord.text !== "model")
+      throw new StatementError("expected model", kindWord.at);
     const { text: value } = requireWord(statement, 1, "a name@version");
     const name = requireOption(statement, "on", "an engine");
     return giveUpstreamOrder(ctx, name, { kind: "unload-model", value });
--- a/src/operator/shares.ts
+++ b/src/operator/shares.ts
@@ -21,7 +21,7 @@
 
 /**
  * Sets the share of a site, in percent. The other sites share the rest in
- * their current proportions.
+ * their current proportions, or equally if they have none.
  */
 export const moveShare = (
   shares: Record<string, number>,
--- a/src/side/dataServer.ts
+++ b/src/side/dataServer.ts
@@ -46,7 +46,7 @@
 
 export class DataServer {
   readonly server: http.Server;
-  private readonly waiting = new Map<string, SideRequest>();
+  private readonly queued = new Map<string, SideRequest>();
   private readonly agent = new http.Agent({ keepAlive: true });
   private readonly timer: NodeJS.Timeout;
   private sequence = 0;
@@ -80,9 +80,9 @@
     const answer = admission.arrive(request.arrival, now());
     switch (answer.kind) {
       case "admitted":
-        return void this.run(request);
+        return void this.receiveBody(request);
       case "queued":
-        return void this.waiting.set(request.id, request);
+        return void this.queued.set(request.id, request);
       case "refused":
         return this.refuse(request, refused(answer.why, answer.retryAfterMs));
     }
@@ -104,8 +104,9 @@
     const { settings, gate } = this.options;
     const auth = String(req.headers[HEADERS.auth] ?? "");
     if (!isSameSecret(auth, settings.peers.secret)) return unauthorized();
-    const asked = String(req.headers[HEADERS.upstream] ?? "");
-    if (asked !== settings.upstream.id) return wrongUpstream(asked);
+    const requestedUpstream = String(req.headers[HEADERS.upstream] ?? "");
+    if (requestedUpstream !== settings.upstream.id)
+      return wrongUpstream(requestedUpstream);
     switch (gate.state) {
       case "open":
         return undefined;
@@ -163,14 +164,14 @@
     if (gate.state === "open") return;
     const code = gate.state === "leaving" ? "leaving" : "draining";
     for (const id of admission.refuseWaiting()) {
-      const request = this.waiting.get(id);
-      this.waiting.delete(id);
+      const request = this.queued.get(id);
+      this.queued.delete(id);
       if (request) this.refuse(request, refused(code, DRAINING_RETRY_MS));
     }
   }
 
   private onClosed(request: SideRequest): void {
-    this.waiting.delete(request.id);
+    this.queued.delete(request.id);
     this.options.admission.remove(request.id);
     this.options.cache.remove(request.pendingPrefixes);
     this.options.gate.onRequestEnded();
@@ -182,14 +183,14 @@
       this.options.now(),
     );
     for (const id of expired) {
-      const request = this.waiting.get(id);
-      this.waiting.delete(id);
+      const request = this.queued.get(id);
+      this.queued.delete(id);
       if (request) this.refuse(request, refused("deadline", 0));
     }
     for (const id of admitted) {
-      const request = this.waiting.get(id);
-      this.waiting.delete(id);
-      if (request) void this.run(request);
+      const request = this.queued.get(id);
+      this.queued.delete(id);
+      if (request) void this.receiveBody(request);
     }
   }
 
@@ -214,7 +215,7 @@
     });
   }
 
-  private async run(request: SideRequest): Promise<void> {
+  private async receiveBody(request: SideRequest): Promise<void> {
     const { req, res } = request;
     const { limits } = this.options.settings;
     request.pendingPrefixes = this.options.cache.add(request.prefixes);
@@ -223,8 +224,8 @@
     try {
       body = await readBody(req, limits.maxBodyBytes);
     } catch (err) {
-      // The body is incomplete, so nothing was sent to the upstream.
-      this.options.log.debug("request body incomplete", {
+      // The body was not fully received, so nothing was sent to the upstream.
+      this.options.log.debug("request body not read", {
         cause: errText(err),
       });
       return void res.destroy();
--- a/src/side/failures.ts
+++ b/src/side/failures.ts
@@ -29,10 +29,10 @@
   verdict: "not-run",
 });
 
-export const wrongUpstream = (asked: string): RequestFailure => ({
+export const wrongUpstream = (requested: string): RequestFailure => ({
   status: HTTP_MISDIRECTED,
   code: "wrong_upstream",
-  message: `this side does not serve ${asked}`,
+  message: `this side does not serve ${requested}`,
   verdict: "not-run",
 });
 
--- a/src/side/orderExecutor.ts
+++ b/src/side/orderExecutor.ts
@@ -80,7 +80,7 @@
   private onError(err: unknown): void {
     const { log, gate } = this.options;
     if (!(err instanceof SupersededError)) {
-      return log.warn("order execution failed", { cause: errText(err) });
+      return log.warn("order reconciliation failed", { cause: errText(err) });
     }
     this.isSuperseded = true;
     gate.close("leaving");
--- a/tests/inputs.test.ts
+++ b/tests/inputs.test.ts
@@ -149,7 +149,7 @@
   it("tighten a deadline and never loosen it", () => {
     const budget = (asked: string) => {
       const result = plan({ "x-snowgate-deadline-ms": asked });
-      return result.kind === "plan" ? result.plan.timeoutMs : undefined;
+      return result.kind === "plan" ? result.plan.budgetMs : undefined;
     };
     expect(budget("100")).to.equal(100);
     expect(budget("900000")).to.equal(30_000);
