--- a/src/entry/attemptRunner.ts
+++ b/src/entry/attemptRunner.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a request: sends it to the chosen upstream's side, reads
- * the answer, and tells routing what was learnt.
+ * Runs one attempt of a request: sends it to the side of the chosen upstream,
+ * reads the response and reports the outcome to the router.
  */
 import type http from "node:http";
 import { z } from "zod/v4";
@@ -11,20 +11,20 @@
 import { forwardedHeaders } from "../http/index.js";
 import type { Metrics } from "../telemetry/index.js";
 import type { AttemptResult, Fault, SideClient } from "./sideClient.js";
-import type { StreamRelay } from "./streamAnswer.js";
+import type { StreamRelay } from "./streamRelay.js";
 import type { CallerRequest } from "./types.js";
-import { readWhole } from "./wholeAnswer.js";
-import type { WholeAnswer } from "./wholeAnswer.js";
+import { readWholeResponse } from "./wholeResponse.js";
+import type { WholeResponse } from "./wholeResponse.js";
 
-const CONNECT_MS = 500;
+const CONNECT_TIMEOUT_MS = 500;
 const EVENT_STREAM = "text/event-stream";
 const HTTP_NOT_FOUND = 404;
 const HTTP_SERVER_ERROR = 500;
 
-/** What an attempt came to, after its answer was read. */
-export type AttemptEnd =
+/** Outcome of an attempt, after its response was read. */
+export type AttemptOutcome =
   | { kind: "answered" }
-  | { kind: "whole"; answer: WholeAnswer }
+  | { kind: "whole"; answer: WholeResponse }
   | { kind: "failed"; failure: RequestFailure; fault: Fault }
   | { kind: "caller-gone" };
 
@@ -32,59 +32,62 @@
   router: Router;
   client: SideClient;
   metrics: Metrics;
-  /** Shared secret of the fleet's processes. */
+  /** Secret shared by all processes of the fleet. */
   secret: string;
   maxAnswerBytes: number;
   now: () => number;
 }
 
-/** One attempt and what it goes with. */
-export interface AttemptOrder {
+/** One attempt of a request. */
+export interface AttemptOptions {
   request: CallerRequest;
   choice: Choice;
   route: RouteRequest;
   signal: AbortSignal;
-  /** Present for a streamed answer. */
+  /** Defined for a streamed response. */
   relay: StreamRelay | undefined;
-  /** Where the prompt's KV cache is, if another engine has read it. */
+  /** URL of the prompt's KV cache, if another engine has read the prompt. */
   kvUrl: string | undefined;
 }
 
-/** What an engine answers when it has read a prompt for another. */
-const kvAnswerSchema = z.object({ kv: z.object({ url: z.string() }) });
+/** Response of an engine that has read a prompt for another engine. */
+const kvExportResponseSchema = z.object({ kv: z.object({ url: z.string() }) });
 
 export class AttemptRunner {
   constructor(private readonly options: AttemptRunnerOptions) {}
 
-  async run(order: AttemptOrder): Promise<AttemptEnd> {
+  async run(attempt: AttemptOptions): Promise<AttemptOutcome> {
     const { router, client, now } = this.options;
-    const { request, choice, route, signal, relay } = order;
+    const { request, choice, route, signal, relay } = attempt;
     const { id } = choice.upstream;
-    const fresh = router.onSent(id, route, now());
+    const newPrefixes = router.onSent(id, route, now());
     try {
       const result = await client.send({
         address: choice.upstream.dataAddress,
         method: request.req.method ?? "GET",
         path: request.req.url ?? "/",
-        headers: this.headersFor(order),
+        headers: this.requestHeaders(attempt),
         body: request.plan.body,
-        connectMs: CONNECT_MS,
+        connectTimeoutMs: CONNECT_TIMEOUT_MS,
         timeoutMs: Math.max(1, route.deadlineAt - now()),
         signal,
       });
-      const end = await this.readAnswer(request, result, relay);
-      this.learn(id, end);
-      if (end.kind === "failed") router.onPromptNotCached(id, fresh);
-      return end;
+      const outcome = await this.readResponse(request, result, relay);
+      this.recordOutcome(id, outcome);
+      if (outcome.kind === "failed") router.onPromptNotCached(id, newPrefixes);
+      return outcome;
     } finally {
       router.onEnd(id);
     }
   }
 
-  /** Has a prompt read; gives the place of its KV cache, if that worked. */
-  async readPrompt(order: AttemptOrder): Promise<string | undefined> {
+  /**
+   * Has an engine read a prompt. Returns the URL of its KV cache, or undefined
+   * if that failed.
+   */
+  async readPrompt(attempt: AttemptOptions): Promise<string | undefined> {
     const { router, client, now, maxAnswerBytes } = this.options;
-    const { request, choice, route, signal } = order;
+    const { request, choice, route, signal } = attempt;
     const { id } = choice.upstream;
     router.onSent(id, route, now());
     try {
@@ -92,17 +95,22 @@
         address: choice.upstream.dataAddress,
         method: "POST",
         path: request.req.url ?? "/",
-        headers: { ...this.headersFor(order), [HEADERS.kvExport]: "export" },
+        headers: {
+          ...this.requestHeaders(attempt),
+          [HEADERS.kvExport]: "export",
+        },
         body: request.plan.body,
-        connectMs: CONNECT_MS,
+        connectTimeoutMs: CONNECT_TIMEOUT_MS,
         timeoutMs: Math.max(1, route.deadlineAt - now()),
         signal,
       });
-      const end = await this.readAnswer(request, result, undefined);
-      this.learn(id, end);
-      if (end.kind !== "whole") return undefined;
-      const text = end.answer.body.toString("utf8").slice(0, maxAnswerBytes);
-      const parsed = kvAnswerSchema.safeParse(JSON.parse(text));
+      const outcome = await this.readResponse(request, result, undefined);
+      this.recordOutcome(id, outcome);
+      if (outcome.kind !== "whole") return undefined;
+      const text = outcome.answer.body
+        .toString("utf8")
+        .slice(0, maxAnswerBytes);
+      const parsed = kvExportResponseSchema.safeParse(JSON.parse(text));
       return parsed.success ? parsed.data.kv.url : undefined;
     } catch {
       return undefined;
@@ -111,11 +119,11 @@
     }
   }
 
-  private headersFor(order: AttemptOrder): http.OutgoingHttpHeaders {
-    const { request, choice, route, relay } = order;
+  private requestHeaders(attempt: AttemptOptions): http.OutgoingHttpHeaders {
+    const { request, choice, route, relay } = attempt;
     const { plan, id, req } = request;
-    const resume: Record<string, string> = relay?.tokens
-      ? { [HEADERS.resumeFrom]: String(relay.tokens) }
+    const resume: Record<string, string> = relay?.sentTokens
+      ? { [HEADERS.resumeFrom]: String(relay.sentTokens) }
       : {};
     return {
       ...forwardedHeaders(req.headers, () => false),
@@ -131,15 +139,17 @@
       [HEADERS.prefixes]: route.prefixes.join(","),
       [HEADERS.outputTokens]: String(route.outputTokens),
       ...resume,
-      ...(order.kvUrl === undefined ? {} : { [HEADERS.kvImport]: order.kvUrl }),
+      ...(attempt.kvUrl === undefined
+        ? {}
+        : { [HEADERS.kvImport]: attempt.kvUrl }),
     };
   }
 
-  private async readAnswer(
+  private async readResponse(
     request: CallerRequest,
     result: AttemptResult,
     relay: StreamRelay | undefined,
-  ): Promise<AttemptEnd> {
+  ): Promise<AttemptOutcome> {
     if (result.kind === "failure") {
       return { kind: "failed", failure: result.failure, fault: result.fault };
     }
@@ -148,26 +158,29 @@
     if (relay !== undefined && type.startsWith(EVENT_STREAM)) {
       return this.readStream(request, res, relay);
     }
-    const whole = await readWhole(res, this.options.maxAnswerBytes);
+    const whole = await readWholeResponse(res, this.options.maxAnswerBytes);
     if (whole.kind === "failure") {
       return { kind: "failed", failure: whole.failure, fault: "failing" };
     }
-    return this.checkWhole(request, whole.answer, relay);
+    return this.classifyResponse(request, whole.answer, relay);
   }
 
-  /** An upstream's own failure may be tried elsewhere, where that is safe. */
-  private checkWhole(
+  /**
+   * Decides whether a response goes to the caller or counts as a failed
+   * attempt, which may be retried on another upstream.
+   */
+  private classifyResponse(
     request: CallerRequest,
-    answer: WholeAnswer,
+    answer: WholeResponse,
     relay: StreamRelay | undefined,
-  ): AttemptEnd {
+  ): AttemptOutcome {
     const { requestClass, service } = request.plan;
-    // An engine that has not loaded the model yet: another one may have.
+    // This engine has not loaded the model yet; another one may have.
     const isNotLoaded =
       service.kind === "model" && answer.status === HTTP_NOT_FOUND;
     const isFault = answer.status >= HTTP_SERVER_ERROR;
     const isRepeatable = isFault && requestClass.repeat === "safe";
-    const isPassedOn = !isNotLoaded && !isRepeatable && !relay?.hasBegun;
+    const isPassedOn = !isNotLoaded && !isRepeatable && !relay?.isStarted;
     if (isPassedOn) return { kind: "whole", answer };
     const failure: RequestFailure = {
       status: 502,
@@ -183,13 +196,13 @@
     request: CallerRequest,
     res: http.IncomingMessage,
     relay: StreamRelay,
-  ): Promise<AttemptEnd> {
-    relay.begin({
+  ): Promise<AttemptOutcome> {
+    relay.start({
       ...forwardedHeaders(res.headers, () => false),
       [HEADERS.requestId]: request.id,
       "cache-control": "no-cache",
     });
-    const end = await relay.pump(res);
+    const end = await relay.relayEvents(res);
     switch (end.kind) {
       case "done":
         return { kind: "answered" };
@@ -207,7 +220,7 @@
     }
   }
 
-  private learn(upstream: string, end: AttemptEnd): void {
+  private recordOutcome(upstream: string, end: AttemptOutcome): void {
     const { router, now } = this.options;
     switch (end.kind) {
       case "answered":
@@ -216,11 +229,11 @@
       case "caller-gone":
         return;
       case "failed":
-        return this.learnFault(upstream, end.failure, end.fault);
+        return this.recordFault(upstream, end.failure, end.fault);
     }
   }
 
-  private learnFault(
+  private recordFault(
     upstream: string,
     failure: RequestFailure,
     fault: Fault,
@@ -233,7 +246,7 @@
       case "refused":
         if (failure.code === "leaving")
           return router.onLeaving(upstream, now());
-        // This request's deadline says nothing of the next one's.
+        // A refusal for this request's deadline doesn't apply to other requests.
         if (failure.code === "deadline") return;
         return router.onRefusal(upstream, failure.retryAfterMs ?? 0, now());
       case "failing":
--- a/src/entry/callerFailure.ts
+++ b/src/entry/callerFailure.ts
@@ -1,4 +1,4 @@
-/** The failures that an entry tells a caller, and how it tells them. */
+/** Failures that an entry returns to callers, and their response format. */
 import type http from "node:http";
 
 import { HEADERS } from "../shared/constants.js";
@@ -6,7 +6,7 @@
 import type { Verdict } from "../shared/verdict.js";
 
 const NO_UPSTREAM_RETRY_MS = 500;
-const START_RETRY_MS = 1000;
+const NO_CONFIGURATION_RETRY_MS = 1000;
 
 export const deadlineFailure = (verdict: Verdict): RequestFailure => ({
   status: 504,
@@ -15,7 +15,7 @@
   verdict,
 });
 
-export const noUpstream = (verdict: Verdict): RequestFailure => ({
+export const noUpstreamFailure = (verdict: Verdict): RequestFailure => ({
   status: 503,
   code: "no_upstream",
   message: "no upstream of the service takes work now",
@@ -23,22 +23,25 @@
   retryAfterMs: NO_UPSTREAM_RETRY_MS,
 });
 
-export const noConfiguration = (): RequestFailure => ({
+export const noConfigurationFailure = (): RequestFailure => ({
   status: 503,
   code: "no_configuration",
   message: "this entry has no configuration yet",
   verdict: "not-run",
-  retryAfterMs: START_RETRY_MS,
+  retryAfterMs: NO_CONFIGURATION_RETRY_MS,
 });
 
-export const bodyTooLarge = (message: string): RequestFailure => ({
+export const bodyTooLargeFailure = (message: string): RequestFailure => ({
   status: 413,
   code: "body_too_large",
   message,
   verdict: "not-run",
 });
 
-/** Tells a caller of a failure: verdict, typed body, when to come back. */
+/**
+ * Sends a failure as a JSON error with its verdict and `retry-after`. Does
+ * nothing if a response was already started or the connection is closed.
+ */
 export const sendCallerFailure = (
   res: http.ServerResponse,
   requestId: string,
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers connect to. */
+/** HTTP server for callers' requests. */
 import http from "node:http";
 
 import type { ConfigState } from "../config/index.js";
@@ -7,8 +7,8 @@
 import type { EntrySettings } from "../settings/index.js";
 import type { Log } from "../telemetry/index.js";
 import {
-  bodyTooLarge,
-  noConfiguration,
+  bodyTooLargeFailure,
+  noConfigurationFailure,
   sendCallerFailure,
 } from "./callerFailure.js";
 import { newRequestId } from "./requestFlow.js";
@@ -45,18 +45,18 @@
     this.server.maxConnections = limits.maxConnections;
   }
 
-  /** Whether this entry should get work from the balancer. */
+  /** Whether the load balancer should send requests to this entry. */
   get isReady(): boolean {
     return !this.isLeaving && this.options.config() !== undefined;
   }
 
-  /** Not ready any more; requests are still answered. */
+  /** Reports not ready from now on; requests are still processed. */
   startLeaving(): void {
     this.isLeaving = true;
   }
 
-  /** Closes the listener and resolves when nothing is in flight. */
-  finish(): Promise<void> {
+  /** Closes the listener and resolves when no request is in flight. */
+  closeWhenIdle(): Promise<void> {
     this.server.close();
     this.server.closeIdleConnections();
     if (this.inFlight === 0) return Promise.resolve();
@@ -79,7 +79,7 @@
     try {
       await this.serve(req, res, path, id);
     } catch (err) {
-      this.onThrow(res, id, err);
+      this.onRequestError(res, id, err);
     }
   }
 
@@ -97,7 +97,7 @@
     const arrivedAt = this.options.now();
     const state = this.options.config();
     if (state === undefined) {
-      return sendCallerFailure(res, id, noConfiguration());
+      return sendCallerFailure(res, id, noConfigurationFailure());
     }
     if (path === "/v1/models" && req.method === "GET") {
       return sendJson(res, 200, modelList(state));
@@ -117,12 +117,16 @@
     await this.options.flow.run(request);
   }
 
-  private onThrow(res: http.ServerResponse, id: string, err: unknown): void {
+  private onRequestError(
+    res: http.ServerResponse,
+    id: string,
+    err: unknown,
+  ): void {
     if (err instanceof BodyTooLargeError) {
       res.setHeader("connection", "close");
-      return sendCallerFailure(res, id, bodyTooLarge(err.message));
+      return sendCallerFailure(res, id, bodyTooLargeFailure(err.message));
     }
-    this.options.log.error("request threw", {
+    this.options.log.error("request processing failed", {
       requestId: id,
       cause: errText(err),
     });
--- a/src/entry/requestPlan.ts
+++ b/src/entry/requestPlan.ts
@@ -1,6 +1,6 @@
 /**
- * What a caller's request is: its service, class, deadline and cost. Pure:
- * the configuration and the request come in, a plan or a failure comes out.
+ * Determines the service, class, deadline and cost of a caller's request. Pure
+ * functions of the configuration and the request.
  */
 import type http from "node:http";
 
@@ -17,26 +17,26 @@
 const MAX_WORKSPACE_CHARS = 64;
 const DEFAULT_WORKSPACE = "default";
 
-/** Everything that the later steps need to know of a request. */
+/** Properties of a request that routing and sending it depend on. */
 export interface RequestPlan {
   service: Service;
   requestClass: RequestClass;
   workspace: string;
-  /** From arrival to the end of the answer, ms. */
+  /** Time budget from arrival to the end of the response, ms. */
   budgetMs: number;
-  /** Whether the answer is a stream of server-sent events. */
+  /** Whether the response is a stream of server-sent events. */
   isStream: boolean;
   promptTokens: number;
   outputTokens: number;
   prefixes: readonly string[];
-  /** Body as it goes to the upstream. */
+  /** Body to send to the upstream. */
   body: Buffer;
   idempotencyKey: string | undefined;
   /** Fingerprint of method, path and body. */
-  print: string;
+  fingerprint: string;
 }
 
-/** The parts of a request that a plan is made from. */
+/** The parts of a request that its plan is computed from. */
 export interface IncomingRequest {
   method: string;
   path: string;
@@ -57,7 +57,7 @@
   messages?: { content?: unknown }[];
 }
 
-const failed = (
+const planFailure = (
   status: number,
   code: FailureCode,
   message: string,
@@ -100,15 +100,15 @@
   return parsed as ModelBody;
 };
 
-/** The service and the exact version that a model name stands for. */
+/** Resolves a model name to its service and `name@version`. */
 const findModel = (
   config: Config,
-  asked: string,
+  requested: string,
 ): { service: Service; exact: string } | undefined => {
   for (const service of config.services) {
     for (const { name, version } of service.models) {
       const exact = `${name}@${version}`;
-      if (asked === name || asked === exact) return { service, exact };
+      if (requested === name || requested === exact) return { service, exact };
     }
   }
   return undefined;
@@ -130,7 +130,7 @@
   return best;
 };
 
-const classOf = (
+const selectClass = (
   service: Service,
   request: IncomingRequest,
 ): RequestClass | undefined => {
@@ -140,22 +140,26 @@
       match.method === request.method &&
       request.path.startsWith(match.path),
   );
-  const asked = headerOf(request.headers, HEADERS.className);
-  // A declared match goes first: a header can't make a reservation repeatable.
-  const wanted = matched?.name ?? asked ?? service.defaultClass;
+  const requested = headerOf(request.headers, HEADERS.className);
+  // A declared match takes precedence, so that a header can't mark a reservation
+  // as repeatable.
+  const wanted = matched?.name ?? requested ?? service.defaultClass;
   return service.classes.find((item) => item.name === wanted);
 };
 
-/** A caller may tighten the declared deadline, never loosen it. */
+/**
+ * Returns the time budget, ms; undefined if the header is invalid. A caller
+ * may shorten the declared deadline but not extend it.
+ */
 const budgetOf = (
   requestClass: RequestClass,
   headers: http.IncomingHttpHeaders,
 ): number | undefined => {
   const text = headerOf(headers, HEADERS.deadline);
   if (text === undefined) return requestClass.deadlineMs;
-  const asked = Number(text);
-  if (!Number.isFinite(asked) || asked <= 0) return undefined;
-  return Math.min(requestClass.deadlineMs, asked);
+  const requestedMs = Number(text);
+  if (!Number.isFinite(requestedMs) || requestedMs <= 0) return undefined;
+  return Math.min(requestClass.deadlineMs, requestedMs);
 };
 
 const planFor = (
@@ -167,19 +171,19 @@
   >,
 ): PlanResult => {
   const { headers } = request;
-  const requestClass = classOf(service, request);
+  const requestClass = selectClass(service, request);
   if (requestClass === undefined) {
-    const asked = headerOf(headers, HEADERS.className) ?? "";
+    const requested = headerOf(headers, HEADERS.className) ?? "";
     const known = service.classes.map((item) => item.name).join(", ");
-    return failed(
+    return planFailure(
       400,
       "bad_request",
-      `service ${service.name} has no class "${asked}"; it has ${known}`,
+      `service ${service.name} has no class "${requested}"; it has ${known}`,
     );
   }
   const budgetMs = budgetOf(requestClass, headers);
   if (budgetMs === undefined) {
-    return failed(
+    return planFailure(
       400,
       "bad_request",
       `${HEADERS.deadline} is not a time in ms`,
@@ -187,7 +191,7 @@
   }
   const key = headerOf(headers, HEADERS.idempotencyKey);
   if (requestClass.repeat === "never" && !key) {
-    return failed(
+    return planFailure(
       400,
       "key_missing",
       `class ${requestClass.name} must never be repeated: send an ` +
@@ -195,11 +199,11 @@
     );
   }
   if (key !== undefined && key.length > MAX_KEY_CHARS) {
-    return failed(400, "bad_request", "the Idempotency-Key is too long");
+    return planFailure(400, "bad_request", "the Idempotency-Key is too long");
   }
   const workspace = headerOf(headers, HEADERS.workspace) ?? DEFAULT_WORKSPACE;
   if (workspace.length > MAX_WORKSPACE_CHARS) {
-    return failed(400, "bad_request", "the workspace's name is too long");
+    return planFailure(400, "bad_request", "the workspace's name is too long");
   }
   const { method, path, body } = request;
   const plan: RequestPlan = {
@@ -208,7 +212,7 @@
     workspace,
     budgetMs,
     idempotencyKey: key,
-    print: fingerprint(`${method} ${path}\n${body.toString("utf8")}`),
+    fingerprint: fingerprint(`${method} ${path}\n${body.toString("utf8")}`),
     ...cost,
   };
   return { kind: "plan", plan };
@@ -219,16 +223,24 @@
   request: IncomingRequest,
 ): PlanResult => {
   const body = parseModelBody(request.body);
-  if (typeof body === "string") return failed(400, "bad_request", body);
+  if (typeof body === "string") return planFailure(400, "bad_request", body);
   const found = findModel(config, body.model);
   if (found === undefined) {
-    return failed(404, "unknown_model", `no service has model ${body.model}`);
+    return planFailure(
+      404,
+      "unknown_model",
+      `no service has model ${body.model}`,
+    );
   }
   const prompt = promptOf(body);
-  const asked = body.max_completion_tokens ?? body.max_tokens;
-  const outputTokens = Number(asked ?? DEFAULT_OUTPUT_TOKENS);
+  const requested = body.max_completion_tokens ?? body.max_tokens;
+  const outputTokens = Number(requested ?? DEFAULT_OUTPUT_TOKENS);
   if (!Number.isInteger(outputTokens) || outputTokens < 1) {
-    return failed(400, "bad_request", "max_tokens is not a count of tokens");
+    return planFailure(
+      400,
+      "bad_request",
+      "max_tokens is not a count of tokens",
+    );
   }
   const sent = { ...body, model: found.exact, max_tokens: outputTokens };
   return planFor(found.service, request, {
@@ -240,20 +252,20 @@
   });
 };
 
-/** Makes the plan of one request. */
+/** Computes the plan of a request, or the failure to return to its caller. */
 export const planRequest = (
   config: Config,
   request: IncomingRequest,
 ): PlanResult => {
   if (isModelPath(request.path)) {
     if (request.method !== "POST") {
-      return failed(405, "bad_request", "use POST here");
+      return planFailure(405, "bad_request", "use POST here");
     }
     return planModelRequest(config, request);
   }
   const service = findPlainService(config, request.path);
   if (service === undefined) {
-    return failed(404, "unknown_route", `no service has ${request.path}`);
+    return planFailure(404, "unknown_route", `no service has ${request.path}`);
   }
   return planFor(service, request, {
     isStream: false,
--- a/src/entry/wholeAnswer.ts
+++ b/src/entry/wholeResponse.ts
@@ -1,37 +1,40 @@
-/** Answers that are held until they are whole, so that a cut one is unseen. */
+/**
+ * Buffers a response until it is complete, so that a truncated response never
+ * reaches the caller.
+ */
 import type http from "node:http";
 
 import type { RequestFailure } from "../shared/errors.js";
 
-export interface WholeAnswer {
+export interface WholeResponse {
   status: number;
   headers: http.IncomingHttpHeaders;
   body: Buffer;
 }
 
-export type WholeResult =
-  | { kind: "whole"; answer: WholeAnswer }
+export type ReadResult =
+  | { kind: "whole"; answer: WholeResponse }
   | { kind: "failure"; failure: RequestFailure };
 
-const cut = (): RequestFailure => ({
+const truncatedFailure = (): RequestFailure => ({
   status: 502,
   code: "cut",
   message: "the answer was cut before its end",
   verdict: "may-have-run",
 });
 
-const tooLarge = (maxBytes: number): RequestFailure => ({
+const tooLargeFailure = (maxBytes: number): RequestFailure => ({
   status: 502,
   code: "answer_too_large",
   message: `the answer is over ${maxBytes} bytes`,
   verdict: "ran",
 });
 
-/** Reads an answer to its end. */
-export const readWhole = (
+/** Reads a response to its end; fails if it is truncated or over `maxBytes`. */
+export const readWholeResponse = (
   res: http.IncomingMessage,
   maxBytes: number,
-): Promise<WholeResult> =>
+): Promise<ReadResult> =>
   new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -39,13 +42,14 @@
       size += chunk.length;
       chunks.push(chunk);
       if (size <= maxBytes) return;
-      resolve({ kind: "failure", failure: tooLarge(maxBytes) });
+      resolve({ kind: "failure", failure: tooLargeFailure(maxBytes) });
       res.destroy();
     });
     res.on("error", () => undefined);
     res.on("close", () => {
-      if (!res.complete) return resolve({ kind: "failure", failure: cut() });
-      const answer: WholeAnswer = {
+      if (!res.complete)
+        return resolve({ kind: "failure", failure: truncatedFailure() });
+      const answer: WholeResponse = {
         status: res.statusCode ?? 0,
         headers: res.headers,
         body: Buffer.concat(chunks),
--- a/src/operator/actions/actionExplain.ts
+++ b/src/operator/actions/actionExplain.ts
@@ -1,5 +1,5 @@
 import { StatementError } from "../../query/index.js";
-import { findService, needWord } from "../lookup.js";
+import { findService, requireWord } from "../lookup.js";
 import type { Action, ActionResult, OperatorContext } from "../types.js";
 import type { Service } from "../../config/index.js";
 
@@ -37,21 +37,21 @@
   return { kind: "table", columns, rows };
 };
 
-/** Says why traffic goes where it goes, and why roles are as they are. */
+/** Explains routing decisions and role plans. */
 export const actionExplain: Action = {
   name: "explain",
   keywords: ["why", "route", "roles"],
   usage: "explain route SERVICE [class NAME] | explain roles SERVICE",
   example: "explain roles parts-model",
   perform: async (ctx, statement) => {
-    const what = needWord(statement, 0, "route or roles");
-    const service = findService(ctx, needWord(statement, 1, "a service"));
-    if (what.text === "route") {
+    const subject = requireWord(statement, 0, "route or roles");
+    const service = findService(ctx, requireWord(statement, 1, "a service"));
+    if (subject.text === "route") {
       const name = statement.options.class?.text ?? service.defaultClass;
       return explainRoute(ctx, service, name);
     }
-    if (what.text !== "roles") {
-      throw new StatementError("expected route or roles", what.at);
+    if (subject.text !== "roles") {
+      throw new StatementError("expected route or roles", subject.at);
     }
     const plan = ctx.planOf(service.name);
     if (plan === undefined) {
--- a/src/operator/lookup.ts
+++ b/src/operator/lookup.ts
@@ -1,4 +1,7 @@
-/** Finds what a statement names, or says what there is instead. */
+/**
+ * Looks up the upstreams and services that a statement names. Throws a
+ * StatementError with the existing names if there is no match.
+ */
 import type { Config, Service } from "../config/index.js";
 import { StatementError } from "../query/index.js";
 import type { ParsedValue, Statement } from "../query/index.js";
@@ -6,38 +9,42 @@
 
 const MAX_LISTED = 12;
 
-const listed = (names: string[]): string => {
+const formatNames = (names: string[]): string => {
   const shown = names.slice(0, MAX_LISTED).join(", ");
   return names.length > MAX_LISTED ? `${shown}, ...` : shown;
 };
 
-export const configOf = (ctx: OperatorContext): Config => {
+export const currentConfig = (ctx: OperatorContext): Config => {
   const state = ctx.keeper.current;
   if (state === undefined) throw new StatementError("no configuration yet", 0);
   return state.config;
 };
 
-/** The word at `index`, or an error that says what belongs there. */
-export const needWord = (
+/**
+ * Returns the word at `index`; throws a StatementError with `expected` if it is
+ * missing.
+ */
+export const requireWord = (
   statement: Statement,
   index: number,
-  what: string,
+  expected: string,
 ): ParsedValue => {
   const word = statement.words[index];
   if (word !== undefined) return word;
-  throw new StatementError(`expected ${what}`, endOf(statement));
+  throw new StatementError(`expected ${expected}`, endOf(statement));
 };
 
-export const needOption = (
+export const requireOption = (
   statement: Statement,
   name: string,
-  what: string,
+  expected: string,
 ): ParsedValue => {
   const value = statement.options[name];
   if (value !== undefined) return value;
-  throw new StatementError(`expected "${name}" ${what}`, endOf(statement));
+  throw new StatementError(`expected "${name}" ${expected}`, endOf(statement));
 };
 
+/** Position after the last word or option of a statement. */
 const endOf = (statement: Statement): number => {
   const values = [...statement.words, ...Object.values(statement.options)];
   const ends = values.map((value) => value.at + value.text.length);
@@ -49,22 +56,25 @@
   { text, at }: ParsedValue,
 ): FoundUpstream => {
   const all: string[] = [];
-  for (const service of configOf(ctx).services) {
+  for (const service of currentConfig(ctx).services) {
     for (const upstream of service.upstreams) {
       if (upstream.id === text) return { service, upstream };
       all.push(upstream.id);
     }
   }
-  throw new StatementError(`no engine "${text}"; there are ${listed(all)}`, at);
+  throw new StatementError(
+    `no engine "${text}"; there are ${formatNames(all)}`,
+    at,
+  );
 };
 
 export const findService = (
   ctx: OperatorContext,
   { text, at }: ParsedValue,
 ): Service => {
-  const { services } = configOf(ctx);
+  const { services } = currentConfig(ctx);
   const found = services.find((service) => service.name === text);
   if (found !== undefined) return found;
-  const names = listed(services.map((service) => service.name));
+  const names = formatNames(services.map((service) => service.name));
   throw new StatementError(`no service "${text}"; there are ${names}`, at);
 };
--- a/src/side/dataServer.ts
+++ b/src/side/dataServer.ts
@@ -1,9 +1,10 @@
 /**
- * The side's HTTP server: admission, then the call to the upstream.
+ * The side's HTTP server for requests: admission, then the call to the
+ * upstream.
  *
- * An entry sends the head of a request first (`Expect: 100-continue`) and
- * its body only after this side has let it in. A connection that is lost
- * before proves that nothing ran.
+ * An entry first sends the head of a request (`Expect: 100-continue`), and its
+ * body only after this side has admitted it. If the connection is lost before
+ * that, the request has certainly not run.
  */
 import http from "node:http";
 
@@ -16,7 +17,7 @@
 import type { Log } from "../telemetry/index.js";
 import type { SideSettings } from "../settings/index.js";
 import {
-  cutOff,
+  connectionLost,
   refused,
   sendFailure,
   unauthorized,
@@ -26,7 +27,7 @@
 import type { SideGate } from "./sideGate.js";
 import type { SideReport } from "./sideReport.js";
 import type { SideRequest } from "./types.js";
-import { arrivalOf, prefixesOf } from "./requestHead.js";
+import { parseArrival, parsePrefixes } from "./requestHeaders.js";
 import { StreamPace } from "./streamPace.js";
 import { callUpstream } from "./upstreamCall.js";
 
@@ -45,7 +46,7 @@
 
 export class DataServer {
   readonly server: http.Server;
-  private readonly waiting = new Map<string, SideRequest>();
+  private readonly queued = new Map<string, SideRequest>();
   private readonly agent = new http.Agent({ keepAlive: true });
   private readonly timer: NodeJS.Timeout;
   private sequence = 0;
@@ -59,7 +60,7 @@
     this.server.on("checkContinue", (req, res) => this.onRequest(req, res));
     this.server.keepAliveTimeout = 0;
     this.server.requestTimeout = 0;
-    this.timer = setInterval(() => this.letIn(), EXPIRE_PERIOD_MS);
+    this.timer = setInterval(() => this.admitWaiting(), EXPIRE_PERIOD_MS);
     options.gate.onChange(() => this.onGateChange());
   }
 
@@ -79,9 +80,9 @@
     const answer = admission.arrive(request.arrival, now());
     switch (answer.kind) {
       case "admitted":
-        return void this.run(request);
+        return void this.receiveBody(request);
       case "queued":
-        return void this.waiting.set(request.id, request);
+        return void this.queued.set(request.id, request);
       case "refused":
         return this.refuse(request, refused(answer.why, answer.retryAfterMs));
     }
@@ -93,18 +94,19 @@
   ): SideRequest {
     this.sequence += 1;
     const { cache, now } = this.options;
-    const prefixes = prefixesOf(req.headers);
+    const prefixes = parsePrefixes(req.headers);
     const cached = cache.cachedTokens(prefixes);
-    const arrival = arrivalOf(req.headers, this.sequence, cached, now());
-    return { id: arrival.id, req, res, arrival, prefixes, unread: [] };
+    const arrival = parseArrival(req.headers, this.sequence, cached, now());
+    return { id: arrival.id, req, res, arrival, prefixes, pendingPrefixes: [] };
   }
 
   private refusalOf({ req }: SideRequest): RequestFailure | undefined {
     const { settings, gate } = this.options;
     const auth = String(req.headers[HEADERS.auth] ?? "");
     if (!isSameSecret(auth, settings.peers.secret)) return unauthorized();
-    const asked = String(req.headers[HEADERS.upstream] ?? "");
-    if (asked !== settings.upstream.id) return wrongUpstream(asked);
+    const requestedUpstream = String(req.headers[HEADERS.upstream] ?? "");
+    if (requestedUpstream !== settings.upstream.id)
+      return wrongUpstream(requestedUpstream);
     switch (gate.state) {
       case "open":
         return undefined;
@@ -130,7 +132,7 @@
     };
   }
 
-  /** The load that goes with each reply. */
+  /** Load report, sent with each response. */
   load(): LoadReport {
     const { admission, gate } = this.options;
     return {
@@ -141,7 +143,7 @@
     };
   }
 
-  /** Exact state for entries that ask. */
+  /** Exact current state, for entries that request it. */
   report(storeCalls: number): SideReport {
     const { admission, gate, settings, configNumber } = this.options;
     const { active, queued } = admission.work;
@@ -162,43 +164,49 @@
     if (gate.state === "open") return;
     const code = gate.state === "leaving" ? "leaving" : "draining";
     for (const id of admission.refuseWaiting()) {
-      const request = this.waiting.get(id);
-      this.waiting.delete(id);
+      const request = this.queued.get(id);
+      this.queued.delete(id);
       if (request) this.refuse(request, refused(code, DRAINING_RETRY_MS));
     }
   }
 
   private onClosed(request: SideRequest): void {
-    this.waiting.delete(request.id);
+    this.queued.delete(request.id);
     this.options.admission.remove(request.id);
-    this.options.cache.unlearn(request.unread);
-    this.options.gate.onWorkEnded();
-    this.letIn();
+    this.options.cache.remove(request.pendingPrefixes);
+    this.options.gate.onRequestEnded();
+    this.admitWaiting();
   }
 
-  private letIn(): void {
+  private admitWaiting(): void {
     const { admitted, expired } = this.options.admission.admitWaiting(
       this.options.now(),
     );
     for (const id of expired) {
-      const request = this.waiting.get(id);
-      this.waiting.delete(id);
+      const request = this.queued.get(id);
+      this.queued.delete(id);
       if (request) this.refuse(request, refused("deadline", 0));
     }
     for (const id of admitted) {
-      const request = this.waiting.get(id);
-      this.waiting.delete(id);
-      if (request) void this.run(request);
+      const request = this.queued.get(id);
+      this.queued.delete(id);
+      if (request) void this.receiveBody(request);
     }
   }
 
-  /** Prefill ends with the first bytes; the events after it give the pace. */
-  private measure(upstream: http.IncomingMessage, request: SideRequest): void {
+  /**
+   * Reports to admission the end of prefill, which is the first data of the
+   * response, and the mean time between the events after it.
+   */
+  private observeStream(
+    upstream: http.IncomingMessage,
+    request: SideRequest,
+  ): void {
     const { admission, now } = this.options;
     const pace = new StreamPace();
     upstream.once("data", () => {
       admission.prefillDone(request.id);
-      request.unread = [];
+      request.pendingPrefixes = [];
     });
     upstream.on("data", (bytes: Buffer) => pace.onBytes(bytes, now()));
     upstream.on("end", () => {
@@ -207,17 +215,19 @@
     });
   }
 
-  private async run(request: SideRequest): Promise<void> {
+  private async receiveBody(request: SideRequest): Promise<void> {
     const { req, res } = request;
     const { limits } = this.options.settings;
-    request.unread = this.options.cache.learn(request.prefixes);
+    request.pendingPrefixes = this.options.cache.add(request.prefixes);
     res.writeContinue();
     let body: Buffer;
     try {
       body = await readBody(req, limits.maxBodyBytes);
     } catch (err) {
-      // The body never came whole, so the upstream saw nothing of it.
-      this.options.log.debug("body not read", { cause: errText(err) });
+      // The body was not fully received, so nothing was sent to the upstream.
+      this.options.log.debug("request body not read", {
+        cause: errText(err),
+      });
       return void res.destroy();
     }
     if (res.destroyed) return;
@@ -252,11 +262,12 @@
       ...this.replyHeaders(),
     });
     res.flushHeaders();
-    this.measure(upstream, request);
+    this.observeStream(upstream, request);
     upstream.on("error", () => res.destroy());
     upstream.on("close", () => {
-      // Closing without a last chunk tells the entry that it was cut.
-      if (!upstream.complete) res.destroy(new Error(cutOff("cut").message));
+      // Closing without a last chunk tells the entry that the response is cut.
+      if (!upstream.complete)
+        res.destroy(new Error(connectionLost("cut").message));
     });
     upstream.pipe(res);
   }
--- a/src/side/sideDaemon.ts
+++ b/src/side/sideDaemon.ts
@@ -1,4 +1,4 @@
-/** Role `side`: the only door to its upstream. */
+/** Role `side`: the proxy through which all requests reach its upstream. */
 import { randomUUID } from "node:crypto";
 
 import { Admission } from "../admission/index.js";
@@ -37,7 +37,7 @@
   weightOf: () => 1,
 };
 
-/** Admission's limits as the configuration declares them. */
+/** Returns admission's limits from the configuration. */
 const limitsFrom = (config: Config, serviceName: string): AdmissionLimits => {
   const service = config.services.find((item) => item.name === serviceName);
   if (service === undefined) return DEFAULT_LIMITS;
@@ -81,7 +81,7 @@
   const gate = new SideGate(() => admission.inFlight);
   const executor = createExecutor(runtime, settings, gate);
   const cache = new CacheModel(DEFAULT_LIMITS.capacity.cacheTokens);
-  gate.onRole(() => {
+  gate.onRoleChange(() => {
     cache.clear();
     admission.setRole(gate.role);
   });
@@ -111,12 +111,12 @@
     admission.setLimits(limits);
     cache.resize(limits.capacity.cacheTokens);
   });
-  gate.onRole(() => {
+  gate.onRoleChange(() => {
     membership.announceRole(gate.role);
     void gossip.propagate();
   });
   membership.onChange((member) => {
-    if (member.id === id && member.state === "leaving") gate.shut("leaving");
+    if (member.id === id && member.state === "leaving") gate.close("leaving");
   });
   await loadInitialConfig(runtime, gossip);
   startCommonTasks(runtime, membership, gossip);
@@ -126,10 +126,10 @@
   return {
     addresses: { data: dataAt, peers },
     stop: async () => {
-      gate.shut("leaving");
+      gate.close("leaving");
       membership.announce("leaving");
       await gossip.propagate();
-      await gate.idle();
+      await gate.whenIdle();
       data.close();
       supervisor.stop();
       link.close();
--- a/src/side/sideGate.ts
+++ b/src/side/sideGate.ts
@@ -1,13 +1,13 @@
 /**
- * Whether the side takes new work, and its engine's role. Several reasons
- * may close it at once; it opens when none is left.
+ * Tracks whether the side accepts new requests, and its engine's role. Several
+ * reasons can close the side at once; it is open when none is left.
  */
 import type { Role } from "../config/index.js";
 import type { SideState } from "../routing/index.js";
 
 export const GATE_REASONS = ["leaving", "draining", "busy"] as const;
 
-/** A reason to take no new work; the first that holds is the state. */
+/** A reason to refuse new requests; the first that applies is the state. */
 export type GateReason = (typeof GATE_REASONS)[number];
 
 type Listener = () => void;
@@ -15,7 +15,7 @@
 export class SideGate {
   private readonly reasons = new Set<GateReason>();
   private readonly listeners: Listener[] = [];
-  private idleWaiters: Listener[] = [];
+  private idleListeners: Listener[] = [];
   private currentRole: Role = "mixed";
   private readonly roleListeners: Listener[] = [];
 
@@ -33,18 +33,18 @@
     return this.currentRole;
   }
 
-  /** The engine's role as it says itself. */
+  /** Sets the role that the engine reports. */
   setRole(role: Role): void {
     if (role === this.currentRole) return;
     this.currentRole = role;
     for (const listener of this.roleListeners) listener();
   }
 
-  onRole(listener: Listener): void {
+  onRoleChange(listener: Listener): void {
     this.roleListeners.push(listener);
   }
 
-  shut(reason: GateReason): void {
+  close(reason: GateReason): void {
     if (this.reasons.has(reason)) return;
     this.reasons.add(reason);
     this.notify();
@@ -56,16 +56,16 @@
   }
 
   /** Resolves when no request is in flight. */
-  idle(): Promise<void> {
+  whenIdle(): Promise<void> {
     if (this.inFlight() === 0) return Promise.resolve();
-    return new Promise((resolve) => this.idleWaiters.push(resolve));
+    return new Promise((resolve) => this.idleListeners.push(resolve));
   }
 
-  /** A request ended. */
-  onWorkEnded(): void {
+  /** Called when a request ended; resolves `whenIdle` if it was the last. */
+  onRequestEnded(): void {
     if (this.inFlight() > 0) return;
-    const waiters = this.idleWaiters;
-    this.idleWaiters = [];
+    const waiters = this.idleListeners;
+    this.idleListeners = [];
     for (const resolve of waiters) resolve();
   }
 
--- a/src/side/upstreamCall.ts
+++ b/src/side/upstreamCall.ts
@@ -1,14 +1,14 @@
-/** One call from a side to its upstream. */
+/** Sends a request from a side to its upstream. */
 import http from "node:http";
 
 import { forwardedHeaders } from "../http/index.js";
 import { HEADERS } from "../shared/constants.js";
 import type { RequestFailure } from "../shared/errors.js";
 import { errText } from "../shared/utils.js";
-import { crossed, cutOff, unreachable } from "./failures.js";
+import { mismatchedResponse, connectionLost, unreachable } from "./failures.js";
 
-/** Internal headers that the upstream reads. */
-const FOR_UPSTREAM: readonly string[] = [
+/** Internal headers that are passed to the upstream. */
+const UPSTREAM_HEADERS: readonly string[] = [
   HEADERS.urgency,
   HEADERS.resumeFrom,
   HEADERS.deadline,
@@ -16,7 +16,7 @@
   HEADERS.kvImport,
 ];
 
-/** What the call came to once the upstream's head is here. */
+/** Result of a call: the head of the response, or a failure. */
 export type UpstreamResult =
   | { kind: "response"; res: http.IncomingMessage; req: http.ClientRequest }
   | { kind: "failure"; failure: RequestFailure };
@@ -28,11 +28,11 @@
   body: Buffer;
   requestId: string;
   echoesRequestId: boolean;
-  /** Called with the request, so that it can be cancelled. */
+  /** Called with the request to the upstream, so that it can be cancelled. */
   onRequest: (req: http.ClientRequest) => void;
 }
 
-/** Writes the request and waits for the head of the answer. */
+/** Sends the request and waits for the head of the response. */
 export const callUpstream = (
   options: UpstreamCallOptions,
 ): Promise<UpstreamResult> =>
@@ -42,7 +42,9 @@
       method: req.method ?? "GET",
       agent,
       headers: {
-        ...forwardedHeaders(req.headers, (name) => FOR_UPSTREAM.includes(name)),
+        ...forwardedHeaders(req.headers, (name) =>
+          UPSTREAM_HEADERS.includes(name),
+        ),
         ...(body.length > 0 ? { "content-length": body.length } : {}),
       },
     });
@@ -53,7 +55,7 @@
     });
     upstreamReq.on("error", (err) => {
       const failure = isConnected
-        ? cutOff(errText(err))
+        ? connectionLost(errText(err))
         : unreachable(errText(err));
       resolve({ kind: "failure", failure });
     });
@@ -61,7 +63,7 @@
       const echoed = res.headers[HEADERS.requestId];
       if (options.echoesRequestId && echoed !== requestId) {
         upstreamReq.destroy();
-        return resolve({ kind: "failure", failure: crossed() });
+        return resolve({ kind: "failure", failure: mismatchedResponse() });
       }
       resolve({ kind: "response", res, req: upstreamReq });
     });
