--- a/src/gateway/engineCalls.ts
+++ b/src/gateway/engineCalls.ts
@@ -87,7 +87,7 @@
     const { replicas, client, codec } = this.options;
     const replica = replicas.get(id);
     if (replica === undefined) {
-      const why = "replica is no longer listed";
+      const why = "the replica is gone";
       return { kind: "failed", verdict: "not-run", why };
     }
     await nextEventLoopTurn();
@@ -97,7 +97,7 @@
       return {
         kind: "failed",
         verdict: "not-run",
-        why: "request cancelled or past its deadline",
+        why: "its time is over",
       };
     }
     const quarantineRefusal = this.options.quarantine.refusal(caller);
--- a/src/gateway/engineFailureReporter.ts
+++ b/src/gateway/engineFailureReporter.ts
@@ -19,7 +19,7 @@
   onSilentRead(progress: RequestProgress, engine: string): RoundResult {
     const { caller, grantId } = progress;
     this.reportSilent(progress, engine);
-    const why = "engine did not respond";
+    const why = "the engine says nothing";
     this.logSendFailure(caller, engine, "read", why);
     const ended = { kind: "read" as const, id: grantId, ok: false };
     this.options.placement.reportEvent(caller.service, ended);
@@ -63,7 +63,7 @@
     const event = { kind: "wrong-stage" as const, id: grantId, engine };
     this.options.placement.reportEvent(caller.service, event);
     this.options.replicas.markMisdirected(engine, this.options.now());
-    const why = "engine has changed stage or is gone";
+    const why = "the engine does something else now";
     this.logSendFailure(caller, engine, "place", why);
     return {
       kind: "failed",
--- a/src/gateway/engineRun.ts
+++ b/src/gateway/engineRun.ts
@@ -78,7 +78,7 @@
     }
     if (reply.isNotRun) {
       res.resume();
-      const why = `engine refused the request with status ${reply.status}`;
+      const why = `engine refused with ${reply.status}`;
       if (this.options.replicas.signals.isUnavailable(runner, now()))
         return this.failures.onRejected(progress, runner, "run", why);
       this.failures.logSendFailure(caller, runner, "run", why);
@@ -132,7 +132,7 @@
     const { res } = sent;
     const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
     const status = res.statusCode ?? 0;
-    const why = `engine failed with status ${status}`;
+    const why = `engine failed with ${status}`;
     const isFinal = whole.kind === "whole" && !caller.isResponseStarted;
     if (isFinal && !canRetry({ ...progress, verdict: "may-have-run" })) {
       const headers = this.options.codec.answerHeaders(res.rawHeaders);
--- a/src/gateway/promptReader.ts
+++ b/src/gateway/promptReader.ts
@@ -94,18 +94,18 @@
     const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
     if (reply.isMisdirected) return { kind: "wrong-stage" };
     if (reply.isNotRun || reply.status !== 200) {
-      const why = `prefill refused with status ${reply.status}`;
+      const why = `read refused with ${reply.status}`;
       const { replicas, now } = this.options;
       const isUnavailable =
         reply.isNotRun && replicas.signals.isUnavailable(reader, now());
       return { kind: isUnavailable ? "unavailable" : "failed", why };
     }
     if (reply.requestId !== undefined && reply.requestId !== caller.head.id) {
-      return { kind: "failed", why: "response belongs to another request" };
+      return { kind: "failed", why: "the answer belongs to another request" };
     }
     if (whole.kind === "cut") return { kind: "failed", why: whole.why };
     const handle = codec.readHandle(address, whole.body.toString("utf8"));
     if (handle !== undefined) return { kind: "read", handle };
-    return { kind: "failed", why: "response contains no KV handle" };
+    return { kind: "failed", why: "the answer names no handle" };
   }
 }
--- a/src/gateway/replicaEndDetector.ts
+++ b/src/gateway/replicaEndDetector.ts
@@ -143,7 +143,7 @@
   }
 
   private recordFor(replica: Replica): InterruptedAnswers {
-    const { id } = replica;
+    const id = replica.id;
     const known = this.interrupted.get(id);
     if (known !== undefined) return known;
     const fresh: InterruptedAnswers = {
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -104,10 +104,7 @@
     const answer = await this.place(progress);
     if (answer === undefined) return overdueResult(progress);
     if (answer.kind === "refused") {
-      const failure = failureOf(
-        progress.verdict,
-        `no engine available: ${answer.why}`,
-      );
+      const failure = failureOf(progress.verdict, `no engine: ${answer.why}`);
       const retryAfterMs = this.retryAfterMs(caller, answer);
       const isNotRun = failure.verdict === "not-run";
       return {
@@ -136,7 +133,7 @@
   }
 
   /**
-   * Where engines back stopListening, retrying makes no sense before the first back-stopListening
+   * Where engines back off, retrying makes no sense before the first back-off
    * ends. Retries to rate-limited engines are spread over time as well.
    */
   private retryAfterMs({ service }: CallerRequest, answer: Refusal): number {
--- a/src/gateway/streamRelay.ts
+++ b/src/gateway/streamRelay.ts
@@ -73,7 +73,7 @@
   run({ res: reply, isWhole }: UpstreamReply): Promise<RunEnd> {
     return new Promise((resolve) => {
       const splitter = new EventSplitter();
-      let end: RunEnd = { kind: "cut", why: "response was cut off" };
+      let end: RunEnd = { kind: "cut", why: "the answer was cut" };
       reply.on("data", (chunk: Buffer) => {
         const whole = splitter.push(chunk);
         if (whole.bytes.length > 0) this.forward(reply, whole);
--- a/src/retry/retry.ts
+++ b/src/retry/retry.ts
@@ -54,13 +54,12 @@
     why,
     bucket,
   });
-  if (failure.verdict === "ran") return giveUp("the request ran");
+  if (failure.verdict === "ran") return giveUp("it ran");
   const isUnsafe = failure.verdict === "may-have-run" && repeat === "never";
-  if (isUnsafe)
-    return giveUp("the request may have run and must not be repeated");
-  if (now >= deadlineAt) return giveUp("the deadline has passed");
-  if (attempts >= MAX_ATTEMPTS) return giveUp("all attempts are used");
+  if (isUnsafe) return giveUp("it may have run and must not be repeated");
+  if (now >= deadlineAt) return giveUp("its deadline is over");
+  if (attempts >= MAX_ATTEMPTS) return giveUp("attempts are used up");
   const spent = takeTokens(bucket, 1, now);
-  if (!spent.taken) return giveUp("the retry budget is exhausted");
+  if (!spent.taken) return giveUp("the retry budget is used up");
   return { kind: "again", bucket: spent.bucket };
 };
--- a/src/roles/rolePlan.ts
+++ b/src/roles/rolePlan.ts
@@ -90,16 +90,14 @@
 const reasonToKeep = (input: RolePlanInput): string | undefined => {
   const { service, engines, sinceChangeMs } = input;
   const { dwellMs, automatic } = service.roles;
-  if (service.kind !== "model") return "plain services have no roles";
-  if (!automatic) return "automatic role changes are disabled";
-  if (sinceChangeMs < dwellMs) return "the last role change is too recent";
+  if (service.kind !== "model") return "a plain service has no roles";
+  if (!automatic) return "roles are left to operators";
+  if (sinceChangeMs < dwellMs) return "the last change is too recent";
   const unavailable = engines.find((item) => !item.isAvailable);
-  if (unavailable !== undefined)
-    return `${unavailable.upstream} is unavailable`;
+  if (unavailable !== undefined) return `${unavailable.upstream} is away`;
   const stale = engines.find((item) => item.ageMs > MAX_REPORT_AGE_MS);
-  if (stale !== undefined) return `the report of ${stale.upstream} is stale`;
-  if (engines.length < service.upstreams.length)
-    return "an engine has not reported";
+  if (stale !== undefined) return `news of ${stale.upstream} is stale`;
+  if (engines.length < service.upstreams.length) return "an engine is silent";
   return undefined;
 };
 
@@ -126,11 +124,11 @@
       if (best === undefined || gain > best.gain) best = { from, to, gain };
     }
   }
-  const summary = `current roles serve ${percent(currentShare)} of the demand`;
+  const summary = `the roles as they are serve ${percent(currentShare)} of the work`;
   if (best === undefined || best.gain <= changeCost) {
     const gain = percent(Math.max(0, best?.gain ?? 0));
     const cost = percent(changeCost);
-    const reason = `${summary}; the best change gains ${gain}, a change costs ${cost}`;
+    const reason = `${summary}; the best change wins ${gain}, its cost is ${cost}`;
     return { kind: "keep", why: reason };
   }
   const { from, to, gain } = best;
@@ -138,7 +136,7 @@
     .filter((item) => item.role === from)
     .sort((left, right) => loadOf(left) - loadOf(right))[0];
   if (leastLoaded === undefined) return { kind: "keep", why: summary };
-  const reason = `${summary}; changing ${from} to ${to} gains ${percent(gain)}`;
+  const reason = `${summary}; ${from} to ${to} wins ${percent(gain)}`;
   return {
     kind: "change",
     upstream: leastLoaded.upstream,
