--- a/src/gateway/configProofRequester.ts
+++ b/src/gateway/configProofRequester.ts
@@ -15,24 +15,24 @@
  * refused. That leaves time for four attempts, and by then the process's own
  * store watch has failed.
  */
-const ASK_AGE_FRACTION = 0.7;
+const REQUEST_AGE_FRACTION = 0.7;
 /** Interval between attempts, ms. */
-const ASK_INTERVAL_MS = 300;
+const REQUEST_INTERVAL_MS = 300;
 
 export class ConfigProofRequester {
-  private readonly askAfterMs: number;
+  private readonly requestAfterMs: number;
 
   constructor(
     private readonly state: GatewayState,
     private readonly placement: SharedPlacement,
     bounds: KeyBounds,
   ) {
-    this.askAfterMs = maxProofAgeMs(bounds) * ASK_AGE_FRACTION;
+    this.requestAfterMs = maxProofAgeMs(bounds) * REQUEST_AGE_FRACTION;
   }
 
   start(supervisor: Supervisor): void {
-    if (!Number.isFinite(this.askAfterMs)) return;
-    supervisor.every("configuration proof", ASK_INTERVAL_MS, async () =>
+    if (!Number.isFinite(this.requestAfterMs)) return;
+    supervisor.every("configuration proof", REQUEST_INTERVAL_MS, async () =>
       this.step(),
     );
   }
@@ -40,7 +40,7 @@
   private step(): void {
     const { state, placement } = this;
     const hasKeys = state.routes?.keyring !== undefined;
-    if (!hasKeys || state.proofAgeMs < this.askAfterMs) return;
+    if (!hasKeys || state.proofAgeMs < this.requestAfterMs) return;
     placement.requestConfig(state.configRevision);
   }
 }
--- a/src/gateway/requestProgress.ts
+++ b/src/gateway/requestProgress.ts
@@ -86,7 +86,7 @@
  * Builds the ask for the scheduler. `domain`: failure domain of this process;
  * `unavailable`: engines that this process must not send to for now.
  */
-export const toPlacementAsk = (
+export const toPlacementRequest = (
   progress: RequestProgress,
   domain: string,
   unavailable: string[],
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -20,7 +20,7 @@
 import { EngineRun } from "./engineRun.js";
 import { EngineWatch } from "./engineWatch.js";
 import {
-  toPlacementAsk,
+  toPlacementRequest,
   canRetry,
   newRequestProgress,
   overdueResult,
@@ -169,7 +169,7 @@
           placement.reportEvent(service, unusedGrantEnded(grantId));
       };
       placement
-        .place(toPlacementAsk(progress, domain, unavailable))
+        .place(toPlacementRequest(progress, domain, unavailable))
         .then(onAnswer, reject);
     });
   }
--- a/src/placement/localPlacement.ts
+++ b/src/placement/localPlacement.ts
@@ -44,9 +44,9 @@
 
   constructor(private readonly options: LocalPlacementOptions) {}
 
-  place(ask: PlacementRequest): Promise<PlacementAnswer> {
+  place(request: PlacementRequest): Promise<PlacementAnswer> {
     return new Promise((resolve) => {
-      const answer = this.placeNow(ask, resolve);
+      const answer = this.placeNow(request, resolve);
       if (answer.kind !== "queued") resolve(answer);
     });
   }
@@ -56,13 +56,13 @@
    * queued.
    */
   placeNow(
-    ask: PlacementRequest,
+    request: PlacementRequest,
     onAnswer: AnswerCallback,
   ): PlacementAnswer | Queued {
-    const scheduler = this.refresh(ask.service);
-    const answer = scheduler.place(ask, this.options.now());
+    const scheduler = this.refresh(request.service);
+    const answer = scheduler.place(request, this.options.now());
     if (answer.kind === "queued") {
-      this.queued.set(ask.id, onAnswer);
+      this.queued.set(request.id, onAnswer);
       this.timer ??= setTimeout(() => this.onTime(), SETTLE_INTERVAL_MS);
     }
     return answer;
@@ -72,9 +72,9 @@
    * Takes over a grant given by another scheduler; `isRead`: an engine has
    * already read its prompt.
    */
-  adopt(ask: PlacementRequest, grant: Grant, isRead = false): void {
-    const scheduler = this.refresh(ask.service);
-    scheduler.adoptGrant(ask, grant, isRead, this.options.now());
+  adopt(request: PlacementRequest, grant: Grant, isRead = false): void {
+    const scheduler = this.refresh(request.service);
+    scheduler.adoptGrant(request, grant, isRead, this.options.now());
   }
 
   /** Records the prompt parts that an engine reports as cached. */
--- a/src/placement/messages.ts
+++ b/src/placement/messages.ts
@@ -35,22 +35,25 @@
 const toInt32 = (value: number): number =>
   clampRounded(-MAX_INT32, value, MAX_INT32);
 
-export const toPlaceAsk = (ask: PlacementRequest): PlaceAsk => ({
-  id: ask.id,
-  route: ask.route,
-  domain: ask.domain,
-  model: ask.model,
-  promptTokens: toUint32(ask.promptTokens),
-  outputTokens: toUint32(ask.outputTokens),
-  parts: ask.parts.map(({ id, tokens }) => ({ id, tokens: toUint32(tokens) })),
-  objectiveLeftMs: toInt32(ask.objectiveLeftMs),
-  deadlineLeftMs: toInt32(ask.deadlineLeftMs),
-  priority: toUint32(ask.priority),
-  isReturn: ask.isReturn,
-  avoid: ask.avoid,
-  unavailable: ask.unavailable,
-  answerLeftMs: toUint32(ask.answerLeftMs),
-  mostOutputTokens: toUint32(ask.mostOutputTokens),
+export const toPlaceAsk = (request: PlacementRequest): PlaceAsk => ({
+  id: request.id,
+  route: request.route,
+  domain: request.domain,
+  model: request.model,
+  promptTokens: toUint32(request.promptTokens),
+  outputTokens: toUint32(request.outputTokens),
+  parts: request.parts.map(({ id, tokens }) => ({
+    id,
+    tokens: toUint32(tokens),
+  })),
+  objectiveLeftMs: toInt32(request.objectiveLeftMs),
+  deadlineLeftMs: toInt32(request.deadlineLeftMs),
+  priority: toUint32(request.priority),
+  isReturn: request.isReturn,
+  avoid: request.avoid,
+  unavailable: request.unavailable,
+  answerLeftMs: toUint32(request.answerLeftMs),
+  mostOutputTokens: toUint32(request.mostOutputTokens),
 });
 
 export const fromPlaceAsk = (
@@ -140,14 +143,14 @@
 /** `sinceAskMs` is the time since the ask was sent, by the client's clock. */
 export const fromPlaceReply = (
   reply: PlaceReply,
-  sinceAskMs: number,
+  sinceRequestMs: number,
 ): PlacementAnswer => {
   if (reply.runner !== "") {
     const { runner, readMs } = reply;
     const reader = emptyToUndefined(reply.reader);
     const donor = emptyToUndefined(reply.donor);
     const { waitedMs } = reply;
-    const ageMs = Math.max(0, sinceAskMs - waitedMs);
+    const ageMs = Math.max(0, sinceRequestMs - waitedMs);
     const times = { readMs, waitedMs, ageMs };
     return { kind: "granted", reader, runner, donor, ...times };
   }
--- a/src/placement/pendingPermitAsks.ts
+++ b/src/placement/pendingPermitRequests.ts
@@ -16,16 +16,16 @@
 }
 
 /** The number of an ask and its answer; undefined if there is none. */
-export interface PendingPermitAsk {
+export interface PendingPermitRequest {
   number: number;
   answer: Promise<PermitAnswer | undefined>;
 }
 
-export class PendingPermitAsks {
-  private readonly asks = new Map<number, Pending>();
+export class PendingPermitRequests {
+  private readonly requests = new Map<number, Pending>();
   private last = 0;
 
-  open(): PendingPermitAsk {
+  open(): PendingPermitRequest {
     this.last = (this.last % MAX_NUMBER) + 1;
     const number = this.last;
     const answer = new Promise<PermitAnswer | undefined>((resolve) => {
@@ -33,7 +33,7 @@
         () => this.end(number, undefined),
         ANSWER_TIMEOUT_MS,
       );
-      this.asks.set(number, { resolve, timer });
+      this.requests.set(number, { resolve, timer });
     });
     return { number, answer };
   }
@@ -44,13 +44,13 @@
 
   /** Resolves all pending asks without an answer. */
   close(): void {
-    for (const number of [...this.asks.keys()]) this.end(number, undefined);
+    for (const number of [...this.requests.keys()]) this.end(number, undefined);
   }
 
   private end(number: number, answer: PermitAnswer | undefined): void {
-    const open = this.asks.get(number);
+    const open = this.requests.get(number);
     if (open === undefined) return;
-    this.asks.delete(number);
+    this.requests.delete(number);
     clearTimeout(open.timer);
     open.resolve(answer);
   }
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -27,7 +27,7 @@
   toUsageWindow,
 } from "./messages.js";
 import type { HolderState } from "./messages.js";
-import { PendingPermitAsks } from "./pendingPermitAsks.js";
+import { PendingPermitRequests } from "./pendingPermitRequests.js";
 import { fromRateNews, toRateNews } from "./rateMessages.js";
 import { KEEPALIVE_OPTIONS, CONCURRENT_STANDBYS } from "./placementServer.js";
 
@@ -58,7 +58,7 @@
 interface Waiting {
   resolve(answer: PlacementAnswer | undefined): void;
   timer: NodeJS.Timeout;
-  askedAt: number;
+  requestedAt: number;
   /** The holder has queued the ask and answers when an engine is free. */
   isQueued: boolean;
 }
@@ -90,7 +90,7 @@
   private readonly client: SchedulingClient;
   private readonly stream: ClientDuplexStream<PlaceCall, PlaceReply>;
   private readonly waiting = new Map<string, Waiting>();
-  private readonly permitAsks = new PendingPermitAsks();
+  private readonly permitRequests = new PendingPermitRequests();
   private queuedCount = 0;
   private events: PlaceEvent[] = [];
   private eventTimer: NodeJS.Timeout | undefined;
@@ -99,7 +99,7 @@
   /** When the first ask since the last reply was sent, ms. */
   private silentSince: number | undefined;
   /** The last configuration request, and when it was sent, ms. */
-  private configAsk = { number: 0, sentAt: 0 };
+  private configRequest = { number: 0, sentAt: 0 };
   /** Number of holder states that this standby has received. */
   private statesReceived = 0;
   private stateTimer: NodeJS.Timeout | undefined;
@@ -141,18 +141,23 @@
   }
 
   /** The holder's answer; undefined if there is none. */
-  ask(ask: PlacementRequest): Promise<PlacementAnswer | undefined> {
+  place(request: PlacementRequest): Promise<PlacementAnswer | undefined> {
     if (this.isLost || !this.isReady) return Promise.resolve(undefined);
     return new Promise((resolve) => {
       // After a stall of this process the answer may already be buffered.
       // Timers run before I/O callbacks, and `setImmediate` after them, so the
       // answer is read first.
-      const giveUp = () => setImmediate(() => this.onUnanswered(ask.id));
+      const giveUp = () => setImmediate(() => this.onUnanswered(request.id));
       const timer = setTimeout(giveUp, ANSWER_TIMEOUT_MS);
-      const askedAt = this.options.now();
-      this.waiting.set(ask.id, { resolve, timer, askedAt, isQueued: false });
-      this.silentSince ??= askedAt;
-      this.send({ ask: toPlaceAsk(ask) });
+      const requestedAt = this.options.now();
+      this.waiting.set(request.id, {
+        resolve,
+        timer,
+        requestedAt,
+        isQueued: false,
+      });
+      this.silentSince ??= requestedAt;
+      this.send({ ask: toPlaceAsk(request) });
     });
   }
 
@@ -175,9 +180,13 @@
   }
 
   /** Reports a grant that is already in use to the holder. */
-  reportHeldGrant(ask: PlacementRequest, grant: Grant, isRead: boolean): void {
+  reportHeldGrant(
+    request: PlacementRequest,
+    grant: Grant,
+    isRead: boolean,
+  ): void {
     const { reader = "", runner } = grant;
-    this.send({ held: { ask: toPlaceAsk(ask), reader, runner, isRead } });
+    this.send({ held: { ask: toPlaceAsk(request), reader, runner, isRead } });
   }
 
   /**
@@ -186,8 +195,8 @@
    */
   requestConfig(known: number): void {
     if (this.isLost || !this.isReady) return;
-    const number = this.configAsk.number + 1;
-    this.configAsk = { number, sentAt: this.options.leaseNow() };
+    const number = this.configRequest.number + 1;
+    this.configRequest = { number, sentAt: this.options.leaseNow() };
     this.send({ configAsk: { number, known } });
   }
 
@@ -197,7 +206,7 @@
    */
   requestPermit(replica: string): Promise<PermitAnswer | undefined> {
     if (this.isLost || !this.isReady) return Promise.resolve(undefined);
-    const { number, answer } = this.permitAsks.open();
+    const { number, answer } = this.permitRequests.open();
     this.send({ permitAsk: { number, replica } });
     return answer;
   }
@@ -257,12 +266,13 @@
       const told = reply.rates.map(fromRateNews);
       this.options.onRates(told.filter((news) => news !== undefined));
     }
-    if (reply.permit !== undefined) this.permitAsks.resolveReply(reply.permit);
+    if (reply.permit !== undefined)
+      this.permitRequests.resolveReply(reply.permit);
     if (reply.isQueued) return this.onQueued(id);
     const waiting = this.take(id);
     if (waiting !== undefined) {
-      const sinceAskMs = this.options.now() - waiting.askedAt;
-      return waiting.resolve(fromPlaceReply(reply, sinceAskMs));
+      const sinceRequestMs = this.options.now() - waiting.requestedAt;
+      return waiting.resolve(fromPlaceReply(reply, sinceRequestMs));
     }
     // The answer came after the timeout and the request was placed locally, so
     // the grant is returned.
@@ -274,7 +284,7 @@
    * Accepts only the answer to the last request; earlier ones prove no more.
    */
   private onConfig(answer: ConfigAnswer): void {
-    const { number, sentAt } = this.configAsk;
+    const { number, sentAt } = this.configRequest;
     if (answer.number !== number) return;
     try {
       this.options.onConfig(fromConfigAnswer(answer), sentAt);
@@ -348,7 +358,7 @@
       resolve(undefined);
     }
     this.waiting.clear();
-    this.permitAsks.close();
+    this.permitRequests.close();
     this.stream.cancel();
     this.client.close();
     this.options.onDisconnected(why);
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -262,7 +262,7 @@
     }
     if (held?.ask !== undefined) {
       const { reader, runner, isRead } = held;
-      this.addOpenAsk(stream, held.ask.id);
+      this.addOpenRequest(stream, held.ask.id);
       const grant: Grant = {
         kind: "granted",
         reader: emptyToUndefined(reader),
@@ -280,7 +280,7 @@
         if (later.kind === "refused") this.open.get(stream)?.delete(id);
         this.reply(service, stream, id, later);
       });
-      if (answer.kind !== "refused") this.addOpenAsk(stream, id);
+      if (answer.kind !== "refused") this.addOpenRequest(stream, id);
       this.reply(service, stream, id, answer);
     }
   }
@@ -332,7 +332,7 @@
     return known.selectUpdates(this.options.rates()).map(toRateNews);
   }
 
-  private addOpenAsk(stream: PlaceStream, id: string): void {
+  private addOpenRequest(stream: PlaceStream, id: string): void {
     const known = this.open.get(stream) ?? new Set();
     known.add(id);
     this.open.set(stream, known);
--- a/src/placement/sharedPlacement.ts
+++ b/src/placement/sharedPlacement.ts
@@ -76,7 +76,7 @@
 }
 
 interface InUse {
-  ask: PlacementRequest;
+  request: PlacementRequest;
   grant: Grant;
   /** Whether an engine has read its prompt. */
   isRead: boolean;
@@ -96,23 +96,27 @@
     });
   }
 
-  async place(ask: PlacementRequest): Promise<PlacementAnswer> {
+  async place(request: PlacementRequest): Promise<PlacementAnswer> {
     const { local, now } = this.options;
-    const client = this.connections.get(ask.service)?.client;
+    const client = this.connections.get(request.service)?.client;
     const waiting = client?.unacknowledgedCount ?? 0;
-    const refusal = this.refusalCache.recentRefusal(ask.route, waiting, now());
+    const refusal = this.refusalCache.recentRefusal(
+      request.route,
+      waiting,
+      now(),
+    );
     // A request that has already been at an engine is still placed.
-    if (refusal !== undefined && ask.avoid.length === 0) return refusal;
-    const answer = await client?.ask(ask);
+    if (refusal !== undefined && request.avoid.length === 0) return refusal;
+    const answer = await client?.place(request);
     if (answer !== undefined) {
-      this.refusalCache.record(ask.route, answer, now());
-      if (answer.kind === "granted") local.adopt(ask, answer);
-      return this.used(ask, answer);
+      this.refusalCache.record(request.route, answer, now());
+      if (answer.kind === "granted") local.adopt(request, answer);
+      return this.used(request, answer);
     }
-    const own = await local.place(ask);
-    const { client: newest } = this.connections.get(ask.service) ?? {};
-    if (own.kind === "granted") newest?.reportHeldGrant(ask, own, false);
-    return this.used(ask, own);
+    const own = await local.place(request);
+    const { client: newest } = this.connections.get(request.service) ?? {};
+    if (own.kind === "granted") newest?.reportHeldGrant(request, own, false);
+    return this.used(request, own);
   }
 
   cancel(service: string, id: string): void {
@@ -301,8 +305,9 @@
     // Until the holder accepts, the lease has to be read: the holder may be
     // gone.
     connection.isFresh = false;
-    for (const { ask, grant, isRead } of this.inUse.values()) {
-      if (ask.service === service) client.reportHeldGrant(ask, grant, isRead);
+    for (const { request, grant, isRead } of this.inUse.values()) {
+      if (request.service === service)
+        client.reportHeldGrant(request, grant, isRead);
     }
     client.sendRates(this.options.rates.activeLimits(this.options.now()));
   }
@@ -313,11 +318,11 @@
   }
 
   private used(
-    ask: PlacementRequest,
+    request: PlacementRequest,
     answer: PlacementAnswer,
   ): PlacementAnswer {
     if (answer.kind === "granted") {
-      this.inUse.set(ask.id, { ask, grant: answer, isRead: false });
+      this.inUse.set(request.id, { request, grant: answer, isRead: false });
     }
     return answer;
   }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -6,7 +6,7 @@
 } from "../scheduling/index.js";
 
 export interface Placement {
-  place(ask: PlacementRequest): Promise<PlacementAnswer>;
+  place(request: PlacementRequest): Promise<PlacementAnswer>;
   /** Cancels an ask: no answer follows, and a grant of it ends. */
   cancel(service: string, id: string): void;
   /** Reports an event of a request; `service` is that of its ask. */
--- a/tests/gateway/placement.test.ts
+++ b/tests/gateway/placement.test.ts
@@ -133,7 +133,7 @@
 
   /** Runs one request to its end, so that the pace of ends is known. */
   const runOne = async (entry: PlacementClient): Promise<void> => {
-    expect((await entry.ask(ask("one")))?.kind).to.equal("granted");
+    expect((await entry.place(ask("one")))?.kind).to.equal("granted");
     entry.reportEvent({ kind: "ended", id: "one", ok: true, firstEventMs: 5 });
     await until(() => runs() === 0, "the run ends");
   };
@@ -151,7 +151,7 @@
 
     it("includes a stall of the entry before it reads the grant", async () => {
       const entry = await connect(undefined, stalledNow);
-      const answer = entry.ask(ask("one"));
+      const answer = entry.place(ask("one"));
       stallMs = 3000;
       expect(await answer).to.include({ kind: "granted" });
       expect(((await answer) as Grant).ageMs).to.be.at.least(3000);
@@ -160,9 +160,9 @@
     it("excludes the time the ask was queued at the holder", async () => {
       const other = await connect();
       await runOne(other);
-      await other.ask(ask("first"));
+      await other.place(ask("first"));
       const entry = await connect(undefined, stalledNow);
-      const answer = entry.ask(ask("second"));
+      const answer = entry.place(ask("second"));
       await new Promise((resolve) => setTimeout(resolve, 200));
       other.reportEvent({
         kind: "ended",
@@ -194,15 +194,15 @@
       };
       const bad = { ...ask("bad"), route: "bad" };
       if (tell === "held") entry.reportHeldGrant(bad, HELD, false);
-      else expect((await entry.ask(bad))?.kind).to.equal("refused");
-      expect((await entry.ask(ask("good")))?.kind).to.equal("granted");
+      else expect((await entry.place(bad))?.kind).to.equal("refused");
+      expect((await entry.place(ask("good")))?.kind).to.equal("granted");
     });
   }
 
   it("hears of engines that leave, and places on", async () => {
     const entry = await connect();
     entry.reportEvent({ kind: "leaving", id: "", engine: "runner" });
-    expect((await entry.ask(ask("next")))?.kind).to.equal("granted");
+    expect((await entry.place(ask("next")))?.kind).to.equal("granted");
     expect(leaving).to.deep.equal(["runner"]);
   });
 
@@ -218,7 +218,7 @@
   it("answers no ask for a permit that it throws on, and goes on", async () => {
     const entry = await connect();
     expect(await entry.requestPermit("unheard")).to.equal(undefined);
-    expect((await entry.ask(ask("next")))?.kind).to.equal("granted");
+    expect((await entry.place(ask("next")))?.kind).to.equal("granted");
   });
 
   it("tells others which rates replicas take, once each change", async () => {
@@ -243,9 +243,9 @@
   it("an ask that waits is answered when room comes", async () => {
     const entry = await connect();
     await runOne(entry);
-    const first = await entry.ask(ask("first"));
+    const first = await entry.place(ask("first"));
     expect(first?.kind).to.equal("granted");
-    const second = entry.ask(ask("second"));
+    const second = entry.place(ask("second"));
     await until(() => local.scheduler(SERVICE).queueLength === 1);
     entry.reportEvent({
       kind: "ended",
@@ -260,9 +260,9 @@
     const lost = await connect();
     const other = await connect();
     await runOne(other);
-    expect((await lost.ask(ask("first")))?.kind).to.equal("granted");
+    expect((await lost.place(ask("first")))?.kind).to.equal("granted");
     expect(runs()).to.equal(1);
-    const waiting = other.ask(ask("second"));
+    const waiting = other.place(ask("second"));
     await until(() => local.scheduler(SERVICE).queueLength === 1);
     lost.close();
     expect((await waiting)?.kind).to.equal("granted");
