--- a/src/gateway/availability.ts
+++ b/src/gateway/availability.ts
@@ -10,7 +10,7 @@
 import type { ReplicaSignal } from "./types.js";
 
 /** Incarnations whose signals are kept, in an LRU; 3,400 are expected. */
-const MAX_LIVES = 8192;
+const MAX_INCARNATIONS = 8192;
 /**
  * Upper limit on the duration of any signal, ms. A leaving replica ends within
  * seconds, so one that still responds after an hour without the signal did not
@@ -65,7 +65,7 @@
 
 export class Availability {
   private readonly known = new LRUCache<string, SignalState>({
-    max: MAX_LIVES,
+    max: MAX_INCARNATIONS,
   });
   /** Replicas that leave, back off or await a probe; few at any time. */
   private readonly unavailable = new Set<string>();
--- a/src/gateway/replicaSet.ts
+++ b/src/gateway/replicaSet.ts
@@ -102,10 +102,10 @@
     const before = this.byName(entry.name);
     const replica = withKnownIncarnation(entry, before?.replica);
     const known = this.entries.get(replica.id);
-    const isOlderLife =
+    const isOlderIncarnation =
       (replica.startedAt ?? 0) < (before?.replica.startedAt ?? 0) ||
       (known !== undefined && revision < known.revision);
-    if (isOlderLife) return [];
+    if (isOlderIncarnation) return [];
     const changes: ReplicaChange[] = [];
     if (before !== undefined && before !== known) {
       changes.push(this.delete(before.replica));
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -39,7 +39,7 @@
  * Maximum replica lives excluded from the count of one request; older records
  * name no more.
  */
-const MAX_EXCLUDED_LIVES = 24;
+const MAX_EXCLUDED_INCARNATIONS = 24;
 
 const FREE: QuarantineVerdict = { kind: "free" };
 
@@ -80,12 +80,12 @@
   }
 
   /** Records that a replica's life ended while these requests were on it. */
-  recordReplicaEnd(digests: readonly string[], life: string): void {
-    this.suspects.add(digests, life);
+  recordReplicaEnd(digests: readonly string[], incarnation: string): void {
+    this.suspects.add(digests, incarnation);
     this.sizes = undefined;
     for (const digest of digests) {
       this.endTrials(digest);
-      this.barIfThresholdReached(digest, this.suspects.lives(digest));
+      this.barIfThresholdReached(digest, this.suspects.incarnations(digest));
     }
   }
 
@@ -136,14 +136,14 @@
   applyEndRecords(records: readonly EndRecord[]): void {
     const all = new Map<string, Set<string>>();
     for (const record of records) {
-      for (const [digest, lives] of Object.entries(record)) {
+      for (const [digest, incarnations] of Object.entries(record)) {
         const known = all.get(digest) ?? new Set();
-        lives.forEach((life) => known.add(life));
+        incarnations.forEach((incarnation) => known.add(incarnation));
         all.set(digest, known);
       }
     }
-    for (const [digest, lives] of all)
-      this.barIfThresholdReached(digest, lives);
+    for (const [digest, incarnations] of all)
+      this.barIfThresholdReached(digest, incarnations);
   }
 
   /** Applies steps taken by any process; returns those that were new. */
@@ -194,15 +194,17 @@
 
   private barIfThresholdReached(
     digest: string,
-    lives: ReadonlySet<string>,
+    incarnations: ReadonlySet<string>,
   ): void {
     const known = this.bars.get(digest)?.bar;
     if (known !== undefined && known.state !== "cleared") return;
     const excluded = new Set(known?.lives ?? []);
-    const counted = [...lives].filter((life) => !excluded.has(life));
+    const counted = [...incarnations].filter(
+      (incarnation) => !excluded.has(incarnation),
+    );
     if (counted.length < REPLICA_ENDS_TO_BAR) return;
     const step = known?.step ?? 0;
-    const named = [...excluded, ...counted].slice(-MAX_EXCLUDED_LIVES);
+    const named = [...excluded, ...counted].slice(-MAX_EXCLUDED_INCARNATIONS);
     const bar = { digest, step, lives: named, sends: 0, by: "", at: 0 };
     this.set(this.nextStep({ ...bar, state: "barred" }, "barred"));
   }
--- a/src/quarantine/suspectTable.ts
+++ b/src/quarantine/suspectTable.ts
@@ -19,10 +19,10 @@
 /**
  * Maximum replica lives recorded per request; more do not affect the decision.
  */
-const MAX_LIVES = 6;
+const MAX_INCARNATIONS = 6;
 
 interface Suspect {
-  lives: Set<string>;
+  incarnations: Set<string>;
   /** Time of the last end, ms. */
   at: number;
 }
@@ -38,14 +38,14 @@
   }
 
   /** Records that a replica's life ended while these requests were on it. */
-  add(digests: readonly string[], life: string): void {
+  add(digests: readonly string[], incarnation: string): void {
     const at = this.now();
     this.dropOld(at);
     for (const digest of digests) {
-      const lives = this.suspects.get(digest)?.lives ?? new Set();
-      if (lives.size < MAX_LIVES) lives.add(life);
+      const incarnations = this.suspects.get(digest)?.incarnations ?? new Set();
+      if (incarnations.size < MAX_INCARNATIONS) incarnations.add(incarnation);
       this.suspects.delete(digest);
-      this.suspects.set(digest, { lives, at });
+      this.suspects.set(digest, { incarnations, at });
     }
     while (this.suspects.size > MAX_SUSPECTS) this.dropWeakest();
   }
@@ -55,8 +55,8 @@
     return this.suspects.delete(digest);
   }
 
-  lives(digest: string): ReadonlySet<string> {
-    return this.suspects.get(digest)?.lives ?? new Set();
+  incarnations(digest: string): ReadonlySet<string> {
+    return this.suspects.get(digest)?.incarnations ?? new Set();
   }
 
   digests(): Iterable<string> {
@@ -64,17 +64,17 @@
   }
 
   toRecord(): EndRecord {
-    const rows = [...this.suspects].map(([digest, { lives }]) => [
+    const rows = [...this.suspects].map(([digest, { incarnations }]) => [
       digest,
-      [...lives],
+      [...incarnations],
     ]);
     return Object.fromEntries(rows) as EndRecord;
   }
 
   /** Restores what this process wrote in an earlier run. */
   restore(record: EndRecord): void {
-    for (const [digest, lives] of Object.entries(record)) {
-      for (const life of lives) this.add([digest], life);
+    for (const [digest, incarnations] of Object.entries(record)) {
+      for (const incarnation of incarnations) this.add([digest], incarnation);
     }
   }
 
@@ -91,8 +91,8 @@
    */
   private dropWeakest(): void {
     let weakest: { digest: string; count: number } | undefined;
-    for (const [digest, { lives }] of this.suspects) {
-      const count = lives.size;
+    for (const [digest, { incarnations }] of this.suspects) {
+      const count = incarnations.size;
       if (weakest === undefined || count < weakest.count) {
         weakest = { digest, count };
       }
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -15,7 +15,7 @@
 import type { EnginePermits, PermitShare, RateNews } from "./types.js";
 
 /** Replica lives whose limits are remembered, the newest first. */
-const MAX_LIVES = 8192;
+const MAX_INCARNATIONS = 8192;
 /**
  * Minimum rate per second: a replica whose limit is zero still gets one request
  * in five seconds, since only an answer to real work tells that the limit has
@@ -73,7 +73,9 @@
 }
 
 export class RateLimits implements EnginePermits {
-  private readonly known = new LRUCache<string, KnownLimit>({ max: MAX_LIVES });
+  private readonly known = new LRUCache<string, KnownLimit>({
+    max: MAX_INCARNATIONS,
+  });
   /** The share of a replica's rate that this process may use. */
   shareOf: (replica: string) => PermitShare = () => ({
     fraction: 1,
--- a/tests/quarantine/quarantine.test.ts
+++ b/tests/quarantine/quarantine.test.ts
@@ -281,7 +281,7 @@
       ledger.add([`9.${at}`], `life-${at}`);
     }
     expect(ledger.size).to.equal(MAX_SUSPECTS);
-    expect(ledger.lives(DEADLY).size).to.equal(2);
+    expect(ledger.incarnations(DEADLY).size).to.equal(2);
   });
 
   it("is forgotten some time after the last end", () => {
@@ -292,11 +292,11 @@
     ledger.add([DEADLY, "9.other"], "life-1");
     clock.now = 2 * SUSPECT_RETENTION_MS - 2;
     ledger.add(["9.new"], "life-2");
-    expect(ledger.lives(DEADLY).size).to.equal(2);
+    expect(ledger.incarnations(DEADLY).size).to.equal(2);
     clock.now = 2 * SUSPECT_RETENTION_MS;
     ledger.add(["9.new"], "life-3");
-    expect(ledger.lives(DEADLY).size).to.equal(0);
-    expect(ledger.lives("9.new").size).to.equal(2);
+    expect(ledger.incarnations(DEADLY).size).to.equal(0);
+    expect(ledger.incarnations("9.new").size).to.equal(2);
   });
 
   it("keeps the same bars at each process, in whatever order they came", () => {
