--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -13,9 +13,9 @@
 } from "./types.js";
 
 /**
- * Replica lives that end under a request before it is barred. With fewer, a
- * request that happened to run beside the cause twice would be barred; each
- * more costs a replica.
+ * Replica incarnations that end under a request before it is barred. With
+ * fewer, a request that happened to run beside the cause twice would be barred;
+ * each additional one costs a replica.
  */
 export const REPLICA_ENDS_TO_BAR = 3;
 /**
@@ -36,8 +36,8 @@
  */
 export const MAX_RECORDS = 64;
 /**
- * Maximum replica lives excluded from the count of one request; older records
- * name no more.
+ * Maximum replica incarnations excluded from the count of one request; records
+ * name only the latest ones.
  */
 const MAX_EXCLUDED_INCARNATIONS = 24;
 
@@ -79,7 +79,7 @@
     return this.sizes.has(sizePrefix(bodyBytes));
   }
 
-  /** Records that a replica's life ended while these requests were on it. */
+  /** Records that a replica incarnation ended while these requests were on it. */
   recordReplicaEnd(digests: readonly string[], incarnation: string): void {
     this.suspects.add(digests, incarnation);
     this.sizes = undefined;
--- a/src/quarantine/suspectTable.ts
+++ b/src/quarantine/suspectTable.ts
@@ -17,7 +17,8 @@
  */
 export const SUSPECT_RETENTION_MS = 600_000;
 /**
- * Maximum replica lives recorded per request; more do not affect the decision.
+ * Maximum replica incarnations recorded per request; more do not affect the
+ * decision.
  */
 const MAX_INCARNATIONS = 6;
 
@@ -37,7 +38,7 @@
     return this.suspects.size;
   }
 
-  /** Records that a replica's life ended while these requests were on it. */
+  /** Records that a replica incarnation ended while these requests were on it. */
   add(digests: readonly string[], incarnation: string): void {
     const at = this.now();
     this.dropOld(at);
@@ -71,7 +72,7 @@
     return Object.fromEntries(rows) as EndRecord;
   }
 
-  /** Restores what this process wrote in an earlier run. */
+  /** Restores what this process wrote before its restart. */
   restore(record: EndRecord): void {
     for (const [digest, incarnations] of Object.entries(record)) {
       for (const incarnation of incarnations) this.add([digest], incarnation);
--- a/src/quarantine/types.ts
+++ b/src/quarantine/types.ts
@@ -2,7 +2,7 @@
  * Types for the quarantine of requests that crash the replicas running them.
  */
 
-/** Replica lives seen to end by one process, by request digest. */
+/** Replica incarnations seen to end by one process, by request digest. */
 export type EndRecord = Record<string, string[]>;
 
 export const QUARANTINE_STATES = ["barred", "on-trial", "cleared"] as const;
@@ -22,7 +22,7 @@
   digest: string;
   state: QuarantineState;
   step: number;
-  /** Replica lives that ended under it. */
+  /** Replica incarnations that ended under it. */
   lives: string[];
   /** Sends to replicas that trials have used, or may have used. */
   sends: number;
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -3,8 +3,8 @@
  * process may use. A limit applies to the sum over all senders, including those
  * that have not received it: the allocator (the process that places for all)
  * spends the whole rate and the others ask it for permits. They spend a small
- * share themselves only while it can't be reached. Keyed by life (one run) of a
- * replica; pure; times are ms of one clock.
+ * share themselves only while it can't be reached. Pure; entries are keyed by
+ * replica incarnation, and times are ms of one clock.
  */
 import { LRUCache } from "lru-cache";
 
@@ -14,7 +14,7 @@
 import { PermitSlots } from "./permitSlots.js";
 import type { EnginePermits, PermitShare, RateNews } from "./types.js";
 
-/** Replica lives whose limits are remembered, the newest first. */
+/** Replica incarnations whose limits are remembered, the newest first. */
 const MAX_INCARNATIONS = 8192;
 /**
  * Minimum rate per second: a replica whose limit is zero still gets one request
--- a/src/rateLimits/types.ts
+++ b/src/rateLimits/types.ts
@@ -4,7 +4,7 @@
 
 /** A replica's rate limit as processes send it to each other. */
 export interface RateNews {
-  /** Id of one life (one run) of a replica. */
+  /** Id of one incarnation of a replica. */
   replica: string;
   /** Requests per second that it takes from all processes together. */
   perS: number;
