--- a/src/gateway/gatewayServer.ts
+++ b/src/gateway/gatewayServer.ts
@@ -154,8 +154,8 @@
     const isEngine = table.service(destination.service)?.engine !== undefined;
     const flow = isEngine ? this.options.stream : this.options.plain;
     const { quarantine } = this.options;
-    const barred = await quarantine.admit(caller);
-    if (barred !== undefined) return caller.fail(barred);
+    const quarantineRefusal = await quarantine.admit(caller);
+    if (quarantineRefusal !== undefined) return caller.fail(quarantineRefusal);
     try {
       await flow.run(caller);
     } finally {
--- a/src/gateway/plainFlow.ts
+++ b/src/gateway/plainFlow.ts
@@ -90,11 +90,11 @@
     let answer: Attempt | undefined;
     const maxSends = caller.isTrial ? 1 : MAX_SENDS;
     for (let sends = 0; sends < maxSends;) {
-      const barred = this.options.quarantine.refusal(caller);
-      if (barred !== undefined && answer === undefined) {
-        return caller.fail(barred);
+      const quarantineRefusal = this.options.quarantine.refusal(caller);
+      if (quarantineRefusal !== undefined && answer === undefined) {
+        return caller.fail(quarantineRefusal);
       }
-      if (barred !== undefined) break;
+      if (quarantineRefusal !== undefined) break;
       const replica = this.chooseReplica(caller, tried);
       if (replica === undefined) break;
       const permit = await this.permits.acquire(caller.service, replica.id);
--- a/src/gateway/quarantineManager.ts
+++ b/src/gateway/quarantineManager.ts
@@ -9,7 +9,7 @@
 import type { Supervisor } from "../tasks/index.js";
 import type { Log, Metrics } from "../telemetry/index.js";
 import type { CallerRequest } from "./callerRequest.js";
-import { parseBars, QuarantineStore } from "./quarantineStore.js";
+import { parseRecords, QuarantineStore } from "./quarantineStore.js";
 import type { QuarantineStoreOptions } from "./quarantineStore.js";
 import { QuarantineTrials, maxTrialSends } from "./quarantineTrials.js";
 import type { ReplicaEnd } from "./replicaEndDetector.js";
@@ -40,8 +40,8 @@
   private readonly store: QuarantineStore;
   private readonly trials: QuarantineTrials;
   /** Steps of the bars in the store, and last logged steps, by digest. */
-  private storedBarSteps = new Map<string, number>();
-  private loggedBarSteps = new Map<string, number>();
+  private storedSteps = new Map<string, number>();
+  private loggedSteps = new Map<string, number>();
   private hasRestored = false;
   /** Instant of the oldest observation not shared yet, ms. */
   private unsharedSince: number | undefined;
@@ -64,24 +64,24 @@
     this.quarantine.recordReplicaEnd(requests, replica.id);
     this.unsharedSince ??= this.options.now();
     this.hasNewEnds = true;
-    this.logBarChanges();
+    this.logRecordChanges();
   }
 
   onSurvived(caller: CallerRequest): void {
     if (!this.quarantine.mayBeTracked(caller.body.length)) return;
-    this.trials.noteSurvived(caller);
+    this.trials.recordSurvival(caller);
     const isNews = this.quarantine.recordSurvival(caller.digest);
     if (isNews) this.unsharedSince ??= this.options.now();
   }
 
   /** Handles the status that is stored with the configuration. */
   onStatus(status: unknown): void {
-    const bars = parseBars(status);
-    this.storedBarSteps = new Map(
-      bars.map(({ digest, step }) => [digest, step]),
+    const records = parseRecords(status);
+    this.storedSteps = new Map(
+      records.map(({ digest, step }) => [digest, step]),
     );
-    this.quarantine.applyRecords(bars);
-    this.logBarChanges();
+    this.quarantine.applyRecords(records);
+    this.logRecordChanges();
   }
 
   /** Called before a request is processed; why it may not run, if so. */
@@ -102,13 +102,13 @@
   refusal(caller: CallerRequest): RequestFailure | undefined {
     if (caller.isTrial) return undefined;
     if (!this.quarantine.mayBeTracked(caller.body.length)) return undefined;
-    const bar = this.quarantine.activeRecord(caller.digest);
-    return bar && this.failure(bar);
+    const record = this.quarantine.activeRecord(caller.digest);
+    return record && this.failure(record);
   }
 
   /** Called when a request has ended. */
   onRequestEnd(caller: CallerRequest): void {
-    if (this.trials.endTrial(caller)) this.logBarChanges();
+    if (this.trials.endTrial(caller)) this.logRecordChanges();
   }
 
   /** Shares new observations and bars; makes no store calls without any. */
@@ -130,7 +130,7 @@
     const isDue =
       unsharedSince !== undefined && now - unsharedSince >= BATCH_DELAY_MS;
     if (isDue && !(await this.shareEnds(unsharedSince))) return false;
-    return !this.hasUnstoredBars || (await this.shareBars());
+    return !this.hasUnstoredRecords || (await this.shareRecords());
   }
 
   /** Loads the records of this process before its restart, and of others. */
@@ -139,7 +139,7 @@
     this.quarantine.restore(own);
     this.quarantine.applyEndRecords(all);
     this.hasRestored = true;
-    this.logBarChanges();
+    this.logRecordChanges();
   }
 
   private async shareEnds(since: number): Promise<boolean> {
@@ -150,7 +150,7 @@
     try {
       const record = this.quarantine.toRecord();
       const isWritten = await this.store.writeEnds(record);
-      if (isWritten && hasNewEnds) await this.learnEnds();
+      if (isWritten && hasNewEnds) await this.applySharedEnds();
       isShared = isWritten;
     } finally {
       if (!isShared) this.unsharedSince = since;
@@ -159,23 +159,23 @@
     return isShared;
   }
 
-  private async learnEnds(): Promise<void> {
+  private async applySharedEnds(): Promise<void> {
     const { all } = await this.store.readEnds();
     this.quarantine.applyEndRecords([...all, this.quarantine.toRecord()]);
-    this.logBarChanges();
+    this.logRecordChanges();
   }
 
-  private get hasUnstoredBars(): boolean {
+  private get hasUnstoredRecords(): boolean {
     return this.quarantine
       .allRecords()
-      .some(
-        ({ digest, step }) => step > (this.storedBarSteps.get(digest) ?? 0),
-      );
+      .some(({ digest, step }) => step > (this.storedSteps.get(digest) ?? 0));
   }
 
-  private async shareBars(): Promise<boolean> {
+  private async shareRecords(): Promise<boolean> {
     for (let round = 0; round < MAX_CONFLICTS; round += 1) {
-      const outcome = await this.store.writeBars(this.quarantine.allRecords());
+      const outcome = await this.store.writeRecords(
+        this.quarantine.allRecords(),
+      );
       if (outcome !== "conflict") return outcome === "written";
     }
     return false;
@@ -193,14 +193,14 @@
   }
 
   /** Logs and counts each step of each bar once. */
-  private logBarChanges(): void {
-    const bars = this.quarantine.allRecords();
-    const before = this.loggedBarSteps;
-    this.loggedBarSteps = new Map(
-      bars.map(({ digest, step }) => [digest, step]),
+  private logRecordChanges(): void {
+    const records = this.quarantine.allRecords();
+    const before = this.loggedSteps;
+    this.loggedSteps = new Map(
+      records.map(({ digest, step }) => [digest, step]),
     );
-    for (const bar of bars) {
-      const { digest, step, state, lives, sends, by } = bar;
+    for (const record of records) {
+      const { digest, step, state, lives, sends, by } = record;
       if (step <= (before.get(digest) ?? 0)) continue;
       const isFirst = !before.has(digest);
       const fields = { digest, step, sends, by, lives: lives.join(",") };
--- a/src/gateway/quarantineStore.ts
+++ b/src/gateway/quarantineStore.ts
@@ -16,9 +16,9 @@
 /** Kind of the objects with observed ends; named after the process. */
 const ENDS_KIND = "replica-ends";
 /** Field of the status stored with the configuration. */
-const BARS_FIELD = "quarantine";
+const RECORDS_FIELD = "quarantine";
 
-const barSchema = z.object({
+const recordSchema = z.object({
   digest: z.string(),
   state: z.enum(QUARANTINE_STATES),
   step: z.number().int(),
@@ -34,11 +34,11 @@
   typeof value === "object" && value !== null ? { ...value } : {};
 
 /** Bars in a status; items that don't match the schema are ignored. */
-export const parseBars = (status: unknown): QuarantineRecord[] => {
-  const listed = fieldsOf(status)[BARS_FIELD];
+export const parseRecords = (status: unknown): QuarantineRecord[] => {
+  const listed = fieldsOf(status)[RECORDS_FIELD];
   if (!Array.isArray(listed)) return [];
   return listed.flatMap((item) => {
-    const read = barSchema.safeParse(item);
+    const read = recordSchema.safeParse(item);
     return read.success ? [read.data] : [];
   });
 };
@@ -60,7 +60,7 @@
   own: EndRecord;
 }
 
-export type BarsWrite = "written" | "conflict" | "failed";
+export type RecordsWrite = "written" | "conflict" | "failed";
 
 export interface QuarantineStoreOptions {
   /** Name of this process. */
@@ -107,12 +107,14 @@
   }
 
   /** One conditional write; on a conflict, applies the other writer's state. */
-  async writeBars(bars: readonly QuarantineRecord[]): Promise<BarsWrite> {
+  async writeRecords(
+    records: readonly QuarantineRecord[],
+  ): Promise<RecordsWrite> {
     const { state, feed, source } = this.options;
     const item = newerItem(state.storedConfig, this.conflictItem);
     // Overwriting a status that was not read would lose other entries' bars.
     if (item?.status === undefined) return "failed";
-    const status = { ...fieldsOf(item.status), [BARS_FIELD]: bars };
+    const status = { ...fieldsOf(item.status), [RECORDS_FIELD]: records };
     const { configKind: kind, configName: name } = source;
     const result = await feed.writeStatus(kind, name, status, item.revision);
     switch (result.kind) {
--- a/src/gateway/quarantineTrials.ts
+++ b/src/gateway/quarantineTrials.ts
@@ -50,7 +50,7 @@
   }
 
   /** Records that a run of the request completed and its replica survived. */
-  noteSurvived(caller: CallerRequest): void {
+  recordSurvival(caller: CallerRequest): void {
     const run = this.runs.get(caller);
     if (run !== undefined) run.hasSurvived = true;
   }
@@ -80,7 +80,7 @@
       const verdict = this.quarantine.verdict(digest, reserved);
       if (verdict.kind !== "may-try") return false;
       const trial = this.quarantine.startTrial(verdict.record, reserved);
-      const outcome = await this.store.writeBars(this.barsWith(trial));
+      const outcome = await this.store.writeRecords(this.recordsWith(trial));
       if (outcome === "failed") return false;
       if (outcome === "conflict") continue;
       this.runs.set(caller, { trial, reserved, hasSurvived: false });
@@ -90,7 +90,7 @@
     return false;
   }
 
-  private barsWith(trial: QuarantineRecord): QuarantineRecord[] {
+  private recordsWith(trial: QuarantineRecord): QuarantineRecord[] {
     const others = this.quarantine
       .allRecords()
       .filter(({ digest }) => digest !== trial.digest);
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -44,7 +44,7 @@
 const FREE: QuarantineVerdict = { kind: "free" };
 
 interface KnownRecord {
-  bar: QuarantineRecord;
+  record: QuarantineRecord;
   /** When this process learned of this step, ms. */
   since: number;
 }
@@ -54,7 +54,7 @@
 
 export class Quarantine {
   private readonly suspects: SuspectTable;
-  private readonly bars = new Map<string, KnownRecord>();
+  private readonly records = new Map<string, KnownRecord>();
   /** Body sizes of tracked requests; undefined: must be rebuilt. */
   private sizes: Set<string> | undefined;
 
@@ -72,9 +72,9 @@
    * computing the digest of nearly all requests.
    */
   mayBeTracked(bodyBytes: number): boolean {
-    if (this.bars.size === 0 && this.suspects.size === 0) return false;
+    if (this.records.size === 0 && this.suspects.size === 0) return false;
     this.sizes ??= new Set(
-      [...this.bars.keys(), ...this.suspects.digests()].map(sizePrefixOf),
+      [...this.records.keys(), ...this.suspects.digests()].map(sizePrefixOf),
     );
     return this.sizes.has(sizePrefix(bodyBytes));
   }
@@ -104,19 +104,19 @@
    * trial of it may take.
    */
   verdict(digest: string, trialSends: number): QuarantineVerdict {
-    const known = this.bars.get(digest);
-    if (known === undefined || known.bar.state === "cleared") return FREE;
-    const { bar, since } = known;
+    const known = this.records.get(digest);
+    if (known === undefined || known.record.state === "cleared") return FREE;
+    const { record, since } = known;
     const isDelayed = this.now() - since < TRIAL_DELAY_MS;
-    const hasSends = bar.sends + trialSends <= MAX_TRIAL_SENDS;
-    const mayTry = bar.state === "barred" && hasSends && !isDelayed;
-    return { kind: mayTry ? "may-try" : "refused", record: bar };
+    const hasSends = record.sends + trialSends <= MAX_TRIAL_SENDS;
+    const mayTry = record.state === "barred" && hasSends && !isDelayed;
+    return { kind: mayTry ? "may-try" : "refused", record };
   }
 
   /** The record of a request that must not run. */
   activeRecord(digest: string): QuarantineRecord | undefined {
-    const bar = this.bars.get(digest)?.bar;
-    return bar?.state === "cleared" ? undefined : bar;
+    const record = this.records.get(digest)?.record;
+    return record?.state === "cleared" ? undefined : record;
   }
 
   /** What this process has seen, for the other processes. */
@@ -147,22 +147,25 @@
   }
 
   /** Applies steps taken by any process; returns those that were new. */
-  applyRecords(bars: readonly QuarantineRecord[]): QuarantineRecord[] {
-    const news = bars.filter((bar) => this.isLater(bar));
-    for (const bar of news) this.set(bar);
+  applyRecords(records: readonly QuarantineRecord[]): QuarantineRecord[] {
+    const news = records.filter((record) => this.isLater(record));
+    for (const record of news) this.set(record);
     return news;
   }
 
   allRecords(): QuarantineRecord[] {
-    return [...this.bars.values()].map(({ bar }) => bar);
+    return [...this.records.values()].map(({ record }) => record);
   }
 
   /**
    * The record of a trial that may take up to `sends` sends; the store must
    * accept it first.
    */
-  startTrial(bar: QuarantineRecord, sends: number): QuarantineRecord {
-    return this.nextStep({ ...bar, sends: bar.sends + sends }, "on-trial");
+  startTrial(record: QuarantineRecord, sends: number): QuarantineRecord {
+    return this.nextStep(
+      { ...record, sends: record.sends + sends },
+      "on-trial",
+    );
   }
 
   /** The next record after a trial that had reserved `reserved` sends. */
@@ -180,13 +183,13 @@
   }
 
   private nextStep(
-    bar: QuarantineRecord,
+    record: QuarantineRecord,
     state: QuarantineRecord["state"],
   ): QuarantineRecord {
     return {
-      ...bar,
+      ...record,
       state,
-      step: bar.step + 1,
+      step: record.step + 1,
       by: this.self,
       at: Math.round(this.wallNow()),
     };
@@ -196,7 +199,7 @@
     digest: string,
     incarnations: ReadonlySet<string>,
   ): void {
-    const known = this.bars.get(digest)?.bar;
+    const known = this.records.get(digest)?.record;
     if (known !== undefined && known.state !== "cleared") return;
     const excluded = new Set(known?.lives ?? []);
     const counted = [...incarnations].filter(
@@ -205,8 +208,8 @@
     if (counted.length < REPLICA_ENDS_TO_BAR) return;
     const step = known?.step ?? 0;
     const named = [...excluded, ...counted].slice(-MAX_EXCLUDED_INCARNATIONS);
-    const bar = { digest, step, lives: named, sends: 0, by: "", at: 0 };
-    this.set(this.nextStep({ ...bar, state: "barred" }, "barred"));
+    const record = { digest, step, lives: named, sends: 0, by: "", at: 0 };
+    this.set(this.nextStep({ ...record, state: "barred" }, "barred"));
   }
 
   /**
@@ -215,31 +218,31 @@
    * count.
    */
   private endTrials(digest: string): void {
-    const bar = this.activeRecord(digest);
-    const wasTried = bar?.by === this.self && bar.sends > 0;
-    if (!wasTried || bar.sends >= MAX_TRIAL_SENDS) return;
-    const final = { ...bar, sends: MAX_TRIAL_SENDS };
+    const record = this.activeRecord(digest);
+    const wasTried = record?.by === this.self && record.sends > 0;
+    if (!wasTried || record.sends >= MAX_TRIAL_SENDS) return;
+    const final = { ...record, sends: MAX_TRIAL_SENDS };
     this.set(this.nextStep(final, "barred"));
   }
 
-  private isLater(bar: QuarantineRecord): boolean {
-    const known = this.bars.get(bar.digest)?.bar;
-    return known === undefined || bar.step > known.step;
+  private isLater(record: QuarantineRecord): boolean {
+    const known = this.records.get(record.digest)?.record;
+    return known === undefined || record.step > known.step;
   }
 
-  private set(bar: QuarantineRecord): void {
+  private set(record: QuarantineRecord): void {
     this.sizes = undefined;
-    this.bars.delete(bar.digest);
-    this.bars.set(bar.digest, { bar, since: this.now() });
+    this.records.delete(record.digest);
+    this.records.set(record.digest, { record, since: this.now() });
     // Ends seen before a request was cleared no longer count against it.
-    if (bar.state === "cleared") this.suspects.clear(bar.digest);
-    if (this.bars.size > MAX_RECORDS) this.dropOldest();
+    if (record.state === "cleared") this.suspects.clear(record.digest);
+    if (this.records.size > MAX_RECORDS) this.dropOldest();
   }
 
   private dropOldest(): void {
     const all = this.allRecords();
     const cleared = all.filter(({ state }) => state === "cleared");
     const [oldest] = (cleared.length > 0 ? cleared : all).sort(byAge);
-    if (oldest !== undefined) this.bars.delete(oldest.digest);
+    if (oldest !== undefined) this.records.delete(oldest.digest);
   }
 }
