--- a/src/gateway/leaseHolderTasks.ts
+++ b/src/gateway/leaseHolderTasks.ts
@@ -67,7 +67,7 @@
       const controller =
         this.stageControllers.get(service) ?? this.newStageController(service);
       this.stageControllers.set(service, controller);
-      // Placement asks refresh the engine list too. When there are none, the
+      // Placement requests refresh the engine list too. When there are none, the
       // planner would see the stages from before its own orders and repeat them.
       this.options.local.refresh(service);
       await controller.step();
--- a/src/gateway/quarantineManager.ts
+++ b/src/gateway/quarantineManager.ts
@@ -24,7 +24,7 @@
 const BATCH_DELAY_MS = 100;
 /** Retry interval after a failed store call, ms. */
 const RETRY_MS = 500;
-/** Attempts to write the bars that may conflict with other writers. */
+/** Attempts to write the records that may conflict with other writers. */
 const MAX_CONFLICTS = 4;
 const MS_PER_SECOND = 1000;
 
@@ -39,7 +39,7 @@
   private readonly quarantine: Quarantine;
   private readonly store: QuarantineStore;
   private readonly trials: QuarantineTrials;
-  /** Steps of the bars in the store, and last logged steps, by digest. */
+  /** Steps of the records in the store, and last logged steps, by digest. */
   private storedSteps = new Map<string, number>();
   private loggedSteps = new Map<string, number>();
   private hasRestored = false;
@@ -98,7 +98,7 @@
     return this.failure(verdict.record);
   }
 
-  /** Called before each send: a bar may be newer than the request. */
+  /** Called before each send: a record may be newer than the request. */
   refusal(caller: CallerRequest): RequestFailure | undefined {
     if (caller.isTrial) return undefined;
     if (!this.quarantine.mayBeTracked(caller.body.length)) return undefined;
@@ -111,7 +111,7 @@
     if (this.trials.endTrial(caller)) this.logRecordChanges();
   }
 
-  /** Shares new observations and bars; makes no store calls without any. */
+  /** Shares new observations and records; makes no store calls without any. */
   async step(): Promise<void> {
     const now = this.options.now();
     if (now < this.retryAt) return;
@@ -192,7 +192,7 @@
     };
   }
 
-  /** Logs and counts each step of each bar once. */
+  /** Logs and counts each step of each record once. */
   private logRecordChanges(): void {
     const records = this.quarantine.allRecords();
     const before = this.loggedSteps;
--- a/src/gateway/quarantineStore.ts
+++ b/src/gateway/quarantineStore.ts
@@ -1,9 +1,9 @@
 /**
  * Stores the fleet's records of requests that crash replicas. Each process
- * writes its observations to an object of its own. The bars are in the status
- * stored with the configuration, which every entry watches anyway: bars take
- * effect like a configuration, and no extra calls are made while no replica
- * ends.
+ * writes its observations to an object of its own. The quarantine records are
+ * in the status stored with the configuration, which every entry watches
+ * anyway: they take effect like a configuration, and no extra calls are made
+ * while no replica ends.
  */
 import { z } from "zod/v4";
 
@@ -33,7 +33,10 @@
 const fieldsOf = (value: unknown): Record<string, unknown> =>
   typeof value === "object" && value !== null ? { ...value } : {};
 
-/** Bars in a status; items that don't match the schema are ignored. */
+/**
+ * Quarantine records in a status; items that don't match the schema are
+ * ignored.
+ */
 export const parseRecords = (status: unknown): QuarantineRecord[] => {
   const listed = fieldsOf(status)[RECORDS_FIELD];
   if (!Array.isArray(listed)) return [];
@@ -112,7 +115,7 @@
   ): Promise<RecordsWrite> {
     const { state, feed, source } = this.options;
     const item = newerItem(state.storedConfig, this.conflictItem);
-    // Overwriting a status that was not read would lose other entries' bars.
+    // Overwriting a status that was not read would lose other entries' records.
     if (item?.status === undefined) return "failed";
     const status = { ...fieldsOf(item.status), [RECORDS_FIELD]: records };
     const { configKind: kind, configName: name } = source;
--- a/src/gateway/requestProgress.ts
+++ b/src/gateway/requestProgress.ts
@@ -83,8 +83,9 @@
 };
 
 /**
- * Builds the ask for the scheduler. `domain`: failure domain of this process;
- * `unavailable`: engines that this process must not send to for now.
+ * Builds the placement request for the scheduler. `domain`: failure domain of
+ * this process; `unavailable`: engines that this process must not send to for
+ * now.
  */
 export const toPlacementRequest = (
   progress: RequestProgress,
--- a/src/placement/leaseKeeper.ts
+++ b/src/placement/leaseKeeper.ts
@@ -27,7 +27,7 @@
   epoch: z.number().int().nonnegative(),
   /** Incremented with each renewal. */
   beat: z.number().int().nonnegative(),
-  /** Address at which the holder accepts placement asks. */
+  /** Address at which the holder accepts placement requests. */
   address: z.string(),
   /**
    * The holder's measurements of its engines' pace, so that the next holder
--- a/src/placement/messages.ts
+++ b/src/placement/messages.ts
@@ -1,4 +1,4 @@
-/** Converts placement asks and answers to and from gateway messages. */
+/** Converts placement requests and answers to and from gateway messages. */
 import type {
   ConfigAnswer,
   PlaceAsk,
@@ -26,7 +26,7 @@
 
 /**
  * Clamps to uint32. Callers choose these numbers; one that a message can't hold
- * would end the stream with the asks of all requests, and again at the next
+ * would end the stream with all its placement requests, and again at the next
  * holder.
  */
 const toUint32 = (value: number): number => clampRounded(0, value, MAX_UINT32);
@@ -140,7 +140,10 @@
 export const emptyToUndefined = (text: string): string | undefined =>
   text === "" ? undefined : text;
 
-/** `sinceAskMs` is the time since the ask was sent, by the client's clock. */
+/**
+ * `sinceRequestMs` is the time since the request was sent, by the client's
+ * clock.
+ */
 export const fromPlaceReply = (
   reply: PlaceReply,
   sinceRequestMs: number,
--- a/src/placement/pendingPermitRequests.ts
+++ b/src/placement/pendingPermitRequests.ts
@@ -1,11 +1,11 @@
-/** Permit asks that the lease holder has not answered yet. */
+/** Permit requests that the lease holder has not answered yet. */
 import type { PermitReply } from "../gen/snowgate.js";
 import type { PermitAnswer } from "../rateLimits/index.js";
 import { fromPermitReply } from "./rateMessages.js";
 
 /**
- * Timeout of an ask, ms: plain requests have some hundred ms in all, and there
- * are other replicas.
+ * Timeout of a permit request, ms: plain requests have some hundred ms in all,
+ * and there are other replicas.
  */
 const ANSWER_TIMEOUT_MS = 40;
 const MAX_NUMBER = 2 ** 32 - 1;
@@ -15,7 +15,9 @@
   timer: NodeJS.Timeout;
 }
 
-/** The number of an ask and its answer; undefined if there is none. */
+/**
+ * The number of a permit request and its answer; undefined if there is none.
+ */
 export interface PendingPermitRequest {
   number: number;
   answer: Promise<PermitAnswer | undefined>;
@@ -42,7 +44,7 @@
     this.end(reply.number, fromPermitReply(reply));
   }
 
-  /** Resolves all pending asks without an answer. */
+  /** Resolves all pending requests without an answer. */
   close(): void {
     for (const number of [...this.requests.keys()]) this.end(number, undefined);
   }
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -32,14 +32,14 @@
 import { KEEPALIVE_OPTIONS, CONCURRENT_STANDBYS } from "./placementServer.js";
 
 /**
- * Timeout of an ask, ms; the request is then placed locally. A briefly busy
+ * Timeout of a placement request, ms; it is then placed locally. A briefly busy
  * holder still places better than an estimate, so this is about as long as a
  * request can wait and still be in time.
  */
 const ANSWER_TIMEOUT_MS = 90;
 /**
- * Events are batched with an ask or other events for this long, ms: read ends,
- * after which the holder assigns the next reads, …
+ * Events are batched with a request or other events for this long, ms: read
+ * ends, after which the holder assigns the next reads, …
  */
 const READ_EVENT_DELAY_MS = 6;
 /** … and all others, which free capacity. */
@@ -59,14 +59,14 @@
   resolve(answer: PlacementAnswer | undefined): void;
   timer: NodeJS.Timeout;
   requestedAt: number;
-  /** The holder has queued the ask and answers when an engine is free. */
+  /** The holder has queued the request and answers when an engine is free. */
   isQueued: boolean;
 }
 
 export interface PlacementClientOptions {
   service: string;
   address: string;
-  /** A standby sends no asks and only waits for the holder to fail. */
+  /** A standby sends no requests and only waits for the holder to fail. */
   isStandby: boolean;
   /** The holder has accepted the stream and reads what is sent from now on. */
   onAccepted(): void;
@@ -96,7 +96,7 @@
   private eventTimer: NodeJS.Timeout | undefined;
   /** Whether the pending events include a read end and are sent sooner. */
   private isUrgent = false;
-  /** When the first ask since the last reply was sent, ms. */
+  /** When the first request since the last reply was sent, ms. */
   private silentSince: number | undefined;
   /** The last configuration request, and when it was sent, ms. */
   private configRequest = { number: 0, sentAt: 0 };
@@ -127,7 +127,7 @@
     const giveUp = () =>
       this.disconnect("the holder did not accept the stream in time");
     this.connectTimer = setTimeout(giveUp, CONNECT_TIMEOUT_MS);
-    // Registers this entry with the holder before its first ask.
+    // Registers this entry with the holder before its first request.
     this.send({});
   }
 
@@ -135,7 +135,7 @@
     return this.options.address;
   }
 
-  /** Asks that the holder has neither answered nor queued yet. */
+  /** Number of requests that the holder has neither answered nor queued yet. */
   get unacknowledgedCount(): number {
     return this.waiting.size - this.queuedCount;
   }
@@ -161,13 +161,13 @@
     });
   }
 
-  /** Cancels an ask; it is not answered any more. */
+  /** Cancels a request; it is not answered any more. */
   cancel(id: string): void {
     if (this.take(id) === undefined) return;
     this.reportEvent({ kind: "ended", id, ok: true, firstEventMs: 0 });
   }
 
-  /** Queues an event to be sent with the next ask, or soon. */
+  /** Queues an event to be sent with the next request, or soon. */
   reportEvent(event: PlacementEvent): void {
     if (this.isLost) return;
     this.events.push(toPlaceEvent(event));
@@ -328,7 +328,7 @@
     this.queuedCount += 1;
   }
 
-  /** Removes an ask from those that wait for an answer. */
+  /** Removes a request from those that wait for an answer. */
   private take(id: string): Waiting | undefined {
     const waiting = this.waiting.get(id);
     if (waiting === undefined) return undefined;
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -44,7 +44,7 @@
  */
 export const CONCURRENT_STANDBYS = 3;
 
-/** Retry-after of an ask whose processing threw, ms. */
+/** Retry-after of a request whose processing threw, ms. */
 const ERROR_RETRY_AFTER_MS = 1000;
 const ERROR_REFUSAL: PlacementAnswer = {
   kind: "refused",
@@ -89,9 +89,9 @@
   /** Standbys and the state last sent to each, by service. */
   private readonly standbys = new Map<string, Standbys>();
   /**
-   * Ids of asks that are queued or at an engine, by stream. Nobody else reports
-   * on them: when an entry disconnects, its connections to engines close too,
-   * and its requests must not count as running.
+   * Ids of requests that are queued or at an engine, by stream. Nobody else
+   * reports on them: when an entry disconnects, its connections to engines
+   * close too, and its requests must not count as running.
    */
   private readonly open = new Map<PlaceStream, Set<string>>();
   /** Read pace last sent to each stream. */
@@ -128,8 +128,8 @@
 
   /**
    * Sends the holder's state to the first standbys each time, and to the others
-   * when it has changed. Standbys send no asks, so otherwise they would notice
-   * a lost holder only seconds later, from the closed connection.
+   * when it has changed. Standbys send no requests, so otherwise they would
+   * notice a lost holder only seconds later, from the closed connection.
    */
   notifyStandbys(service: string): void {
     const standbys = this.standbys.get(service) ?? new Map();
@@ -174,7 +174,7 @@
       if (!this.options.isHolder(call.service)) return void stream.end();
       if (service === undefined) {
         service = call.service;
-        // Tells the client that its asks will be read.
+        // Tells the client that its requests will be read.
         stream.sendMetadata(new Metadata());
         this.register(service, stream, call.isStandby);
       }
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Handles errors per call: an error thrown here would end the stream with the
-   * asks of all other requests, here and at the next holder.
+   * Handles errors per call: an error thrown here would end the stream with
+   * all other placement requests, here and at the next holder.
    */
   private take(stream: PlaceStream, call: PlaceCall): void {
     const { service, ask, held } = call;
--- a/src/placement/refusalCache.ts
+++ b/src/placement/refusalCache.ts
@@ -1,14 +1,14 @@
 /**
  * Remembers the last refusal of each route, so that an entry can refuse a
- * request without asking the lease holder. In a burst most asks are refused;
- * with too many in flight the holder answers late and entries place by
+ * request without asking the lease holder. In a burst most requests are
+ * refused; with too many in flight the holder answers late and entries place by
  * estimate, which makes more work for it. Pure.
  */
 import type { PlacementAnswer, Refusal } from "../scheduling/index.js";
 
 /**
- * Asks of one entry that may be in flight while its route is being refused. A
- * holder that keeps up answers in about 10 ms, so one or two usually are.
+ * Requests of one entry that may be in flight while its route is being refused.
+ * A holder that keeps up answers in about 10 ms, so one or two usually are.
  */
 const MAX_PENDING_ASKS = 4;
 /** How long a refusal applies to other requests of the same route, ms. */
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -7,8 +7,8 @@
 
 export interface Placement {
   place(request: PlacementRequest): Promise<PlacementAnswer>;
-  /** Cancels an ask: no answer follows, and a grant of it ends. */
+  /** Cancels a request: no answer follows, and a grant of it ends. */
   cancel(service: string, id: string): void;
-  /** Reports an event of a request; `service` is that of its ask. */
+  /** Reports an event of a request; `service` is that of the request. */
   reportEvent(service: string, event: PlacementEvent): void;
 }
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -38,8 +38,8 @@
 /** Time constant of the count of refused permits, ms. */
 const REFUSALS_MS = 1000;
 /**
- * Minimum interval between two refused asks, ms: bounds the ask rate of a large
- * fleet.
+ * Minimum interval between two refused permit requests, ms: bounds their rate
+ * at a large fleet.
  */
 const MIN_REFUSAL_INTERVAL_MS = 2;
 const MS_PER_SECOND = 1000;
