--- a/src/gateway/callerRequest.ts
+++ b/src/gateway/callerRequest.ts
@@ -130,7 +130,7 @@
   }
 
   /** Responds with a replica's complete reply. */
-  answerWhole(status: number, headers: string[], body: Buffer): void {
+  sendWholeResponse(status: number, headers: string[], body: Buffer): void {
     if (!this.startResponse("answered")) return;
     headers.push("Content-Length", String(body.length));
     this.writeHead(status, headers);
--- a/src/gateway/engineCalls.ts
+++ b/src/gateway/engineCalls.ts
@@ -14,7 +14,7 @@
 import type { UpstreamClient, UpstreamReply } from "./upstreamClient.js";
 
 /** Limit for handle responses, engine reports and error bodies, bytes. */
-export const MAX_SHORT_ANSWER_BYTES = 16 * 1024;
+export const MAX_SHORT_RESPONSE_BYTES = 16 * 1024;
 /** Timeout of the call that releases a KV handle, ms. */
 const RELEASE_TIMEOUT_MS = 1000;
 
--- a/src/gateway/engineRun.ts
+++ b/src/gateway/engineRun.ts
@@ -1,7 +1,7 @@
 /** Runs a request on an engine and relays the event stream to its end. */
 import type { Grant } from "../scheduling/index.js";
 import type { EngineCalls, EngineCallsOptions } from "./engineCalls.js";
-import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
+import { MAX_SHORT_RESPONSE_BYTES } from "./engineCalls.js";
 import type { EngineFailureReporter } from "./engineFailureReporter.js";
 import type { EngineActivity, EngineWatch } from "./engineWatch.js";
 import { canRetry, overdueResult } from "./requestProgress.js";
@@ -93,8 +93,8 @@
       return { kind: "failed", verdict, why: fault, avoid: runner };
     }
     const isGood = reply.status >= 200 && reply.status < 300;
-    if (!isGood) return this.answerFailure(progress, sent, runner);
-    const headers = codec.answerHeaders(res.rawHeaders);
+    if (!isGood) return this.relayErrorResponse(progress, sent, runner);
+    const headers = codec.responseHeaders(res.rawHeaders);
     caller.startStream(reply.status, headers);
     const end = await relay.run(sent);
     const stats = { ...relay.stats() };
@@ -123,20 +123,20 @@
    * Passes the engine's error response on to the caller, unless a stream has
    * begun or another round is possible.
    */
-  private async answerFailure(
+  private async relayErrorResponse(
     progress: RequestProgress,
     sent: UpstreamReply,
     runner: string,
   ): Promise<RoundResult> {
     const { caller } = progress;
     const { res } = sent;
-    const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
+    const whole = await readWholeBody(sent, MAX_SHORT_RESPONSE_BYTES);
     const status = res.statusCode ?? 0;
     const why = `engine failed with ${status}`;
     const isFinal = whole.kind === "whole" && !caller.isResponseStarted;
     if (isFinal && !canRetry({ ...progress, verdict: "may-have-run" })) {
-      const headers = this.options.codec.answerHeaders(res.rawHeaders);
-      caller.answerWhole(status, headers, whole.body);
+      const headers = this.options.codec.responseHeaders(res.rawHeaders);
+      caller.sendWholeResponse(status, headers, whole.body);
       return { kind: "done" };
     }
     return { kind: "failed", verdict: "may-have-run", why, avoid: runner };
--- a/src/gateway/engineWatch.ts
+++ b/src/gateway/engineWatch.ts
@@ -5,7 +5,7 @@
  */
 import { BoundedCancellation, Cancellation } from "../shared/cancellation.js";
 import { errText } from "../shared/utils.js";
-import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
+import { MAX_SHORT_RESPONSE_BYTES } from "./engineCalls.js";
 import { isDifferentIncarnation } from "./replicaSet.js";
 import type { EngineCallsOptions } from "./engineCalls.js";
 import { readWholeBody } from "./upstreamClient.js";
@@ -64,7 +64,7 @@
         cancellation,
       });
       if (sent.kind === "failed") return "silent";
-      const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
+      const whole = await readWholeBody(sent, MAX_SHORT_RESPONSE_BYTES);
       if (whole.kind === "cut") return "silent";
       const report = codec.readReport(whole.body.toString("utf8"));
       const { running, waiting } = report;
--- a/src/gateway/plainFlow.ts
+++ b/src/gateway/plainFlow.ts
@@ -28,7 +28,7 @@
 } from "./verdicts.js";
 
 /** Maximum size of a buffered response, bytes. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 /** Added to the load of replicas in another failure domain, in requests. */
 const CROSS_DOMAIN_COST = 1;
 /** Replicas whose health is kept; the least recently used are evicted. */
@@ -124,7 +124,7 @@
     }
     if (answer?.kind === "answer") {
       const { head, headers, body } = answer;
-      return caller.answerWhole(head.status, headers, body);
+      return caller.sendWholeResponse(head.status, headers, body);
     }
     if (caller.isPastDeadline) return caller.fail(deadlineFailure(verdict));
     caller.fail(failureOf(verdict, why, this.retryAfterMs(caller)));
@@ -261,7 +261,7 @@
         const fault = this.faultOf(replica, reply);
         return { kind: "failed", verdict: "not-run", why, fault };
       }
-      const whole = await readWholeBody(outcome, MAX_ANSWER_BYTES);
+      const whole = await readWholeBody(outcome, MAX_RESPONSE_BYTES);
       if (whole.kind === "cut") {
         return {
           kind: "failed",
@@ -270,7 +270,7 @@
           fault: "broken",
         };
       }
-      const headers = codec.answerHeaders(res.rawHeaders);
+      const headers = codec.responseHeaders(res.rawHeaders);
       return { kind: "answer", head: reply, headers, body: whole.body };
     } finally {
       cancellation.dispose();
--- a/src/gateway/promptReader.ts
+++ b/src/gateway/promptReader.ts
@@ -6,7 +6,7 @@
 import type { Cancellation } from "../shared/cancellation.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { EngineCalls, EngineCallsOptions } from "./engineCalls.js";
-import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
+import { MAX_SHORT_RESPONSE_BYTES } from "./engineCalls.js";
 import type { EngineActivity, EngineWatch } from "./engineWatch.js";
 import type { KvHandle } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
@@ -91,7 +91,7 @@
     }
     const { res, address } = sent;
     const reply = codec.readReply(res.statusCode ?? 0, res.headers);
-    const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
+    const whole = await readWholeBody(sent, MAX_SHORT_RESPONSE_BYTES);
     if (reply.isMisdirected) return { kind: "wrong-stage" };
     if (reply.isNotRun || reply.status !== 200) {
       const why = `read refused with ${reply.status}`;
--- a/src/gateway/replicaEndDetector.ts
+++ b/src/gateway/replicaEndDetector.ts
@@ -50,7 +50,7 @@
 }
 
 /** Interrupted responses of one replica, and whether its end is confirmed. */
-interface InterruptedAnswers {
+interface InterruptedResponses {
   replica: Replica;
   /** Instant until which an end is attributed to the request, ms, by digest. */
   requests: Map<string, number>;
@@ -62,7 +62,7 @@
 }
 
 export class ReplicaEndDetector {
-  private readonly interrupted = new Map<string, InterruptedAnswers>();
+  private readonly interrupted = new Map<string, InterruptedResponses>();
   /** Called for each end, and for requests attributed to it later. */
   onEnd: (end: ReplicaEnd) => void = () => undefined;
   /** Called when a run completed and its replica survived. */
@@ -127,7 +127,7 @@
   }
 
   private remember(
-    { requests }: InterruptedAnswers,
+    { requests }: InterruptedResponses,
     digest: string,
     until: number,
   ): void {
@@ -142,11 +142,11 @@
     requests.set(digest, Math.max(until, requests.get(digest) ?? 0));
   }
 
-  private recordFor(replica: Replica): InterruptedAnswers {
+  private recordFor(replica: Replica): InterruptedResponses {
     const id = replica.id;
     const known = this.interrupted.get(id);
     if (known !== undefined) return known;
-    const fresh: InterruptedAnswers = {
+    const fresh: InterruptedResponses = {
       replica,
       requests: new Map(),
       evidence: undefined,
@@ -162,7 +162,7 @@
   }
 
   /** If the address still accepts connections, the list may confirm the end. */
-  private probe(known: InterruptedAnswers): void {
+  private probe(known: InterruptedResponses): void {
     known.mustProbeAgain = known.isProbing;
     if (known.isProbing) return;
     known.isProbing = true;
@@ -175,7 +175,7 @@
     });
   }
 
-  private confirm(known: InterruptedAnswers, evidence: EndEvidence): void {
+  private confirm(known: InterruptedResponses, evidence: EndEvidence): void {
     if (known.evidence !== undefined) return;
     known.evidence = evidence;
     this.options.metrics.count("replica_ended", { how: evidence });
@@ -188,7 +188,7 @@
   }
 
   private report(
-    { replica, evidence }: InterruptedAnswers,
+    { replica, evidence }: InterruptedResponses,
     requests: string[],
   ): void {
     if (evidence === undefined || requests.length === 0) return;
--- a/src/gateway/requestCodec.ts
+++ b/src/gateway/requestCodec.ts
@@ -48,7 +48,7 @@
   /** Names of response headers that this version does not know. */
   unknownHeaders(headers: IncomingHttpHeaders): string[];
   /** Headers of a replica's response that are passed on to callers. */
-  answerHeaders(rawHeaders: readonly string[]): string[];
+  responseHeaders(rawHeaders: readonly string[]): string[];
   failureAnswer(failure: RequestFailure, requestId: string): FailureAnswer;
   /** The handle in the response to a `read`; undefined if there is none. */
   readHandle(address: string, body: string): KvHandle | undefined;
--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -28,7 +28,7 @@
 /** Maximum orders of one step, each to a different engine. */
 const MAX_ORDERS_PER_STEP = 4;
 /** Limit on responses to orders and state reports, bytes. */
-const MAX_ANSWER_BYTES = 16 * 1024;
+const MAX_RESPONSE_BYTES = 16 * 1024;
 
 /** Result of an order; `unknown`: it may still be executed. */
 interface OrderOutcome {
@@ -208,7 +208,7 @@
       return { kind, why: sent.why };
     }
     const status = sent.res.statusCode ?? 0;
-    const whole = await readWholeBody(sent, MAX_ANSWER_BYTES);
+    const whole = await readWholeBody(sent, MAX_RESPONSE_BYTES);
     cancellation.dispose();
     const text = whole.kind === "whole" ? whole.body.toString("utf8") : "";
     const isGood = status >= 200 && status < 300;
--- a/src/placement/messages.ts
+++ b/src/placement/messages.ts
@@ -21,8 +21,8 @@
 const MAX_INT32 = 2 ** 31 - 1;
 
 /** Rounds and clamps to a range; NaN becomes 0 before clamping. */
-const clampRounded = (least: number, value: number, most: number): number =>
-  Math.min(most, Math.max(least, Math.round(value) || 0));
+const clampRounded = (min: number, value: number, max: number): number =>
+  Math.min(max, Math.max(min, Math.round(value) || 0));
 
 /**
  * Clamps to uint32. Callers choose these numbers; one that a message can't hold
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -307,14 +307,15 @@
     clearTimeout(this.stateTimer);
     if (!this.options.isStandby || standbyRank >= CONCURRENT_STANDBYS) return;
     // After a stall of this process the next state may already be buffered.
-    const onSilence = () => setImmediate(() => this.disconnectIfSilent(heard));
+    const onSilence = () =>
+      setImmediate(() => this.disconnectIfSilent(statesBefore));
     this.statesReceived += 1;
-    const heard = this.statesReceived;
+    const statesBefore = this.statesReceived;
     this.stateTimer = setTimeout(onSilence, STANDBY_TIMEOUT_MS);
   }
 
-  private disconnectIfSilent(heard: number): void {
-    if (this.statesReceived === heard)
+  private disconnectIfSilent(statesBefore: number): void {
+    if (this.statesReceived === statesBefore)
       this.disconnect("no state received from the holder");
   }
 
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -242,7 +242,7 @@
     for (const { process, seq, counts } of call.usage) {
       this.options.onUsage(process, { seq, counts });
     }
-    if (configAsk !== undefined) this.tellConfig(service, stream, configAsk);
+    if (configAsk !== undefined) this.sendConfig(service, stream, configAsk);
     for (const told of call.rates) {
       const news = fromRateNews(told);
       if (news !== undefined) this.options.onRate(news);
@@ -298,7 +298,7 @@
   /**
    * Sends the configuration; nothing is sent while its freshness is not proven.
    */
-  private tellConfig(
+  private sendConfig(
     service: string,
     stream: PlaceStream,
     { number, known }: ConfigAsk,
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -47,7 +47,7 @@
 interface KnownLimit {
   perS: number;
   /** When an answer last reported it, here or at another process. */
-  heardAt: number;
+  reportedAt: number;
   /** Since when answers have not reported it. */
   endedAt: number | undefined;
   bucket: PermitBucket;
@@ -103,7 +103,7 @@
     if (known === undefined || known.endedAt !== undefined) return undefined;
     // Answers can arrive out of order: one to an earlier request does not prove
     // that the limit has ended.
-    if (!report.mayEnd || report.sentAt <= known.heardAt) return undefined;
+    if (!report.mayEnd || report.sentAt <= known.reportedAt) return undefined;
     known.endedAt = now;
     return { replica, perS: known.perS, endedAgoMs: 0 };
   }
@@ -209,14 +209,14 @@
       return void this.update(replica, fresh, now);
     }
     known.perS = perS;
-    known.heardAt = now;
+    known.reportedAt = now;
     known.endedAt = undefined;
   }
 
   private newLimit(perS: number, now: number): KnownLimit {
     return {
       perS,
-      heardAt: now,
+      reportedAt: now,
       endedAt: undefined,
       bucket: new PermitBucket(now),
       slots: new PermitSlots(this.rng(), now),
@@ -238,7 +238,7 @@
 
 /** Requests per second that the replica takes from all processes now. */
 const currentRate = ({ perS, endedAt }: KnownLimit, now: number): number => {
-  const least = Math.max(perS, MIN_PER_S);
-  if (endedAt === undefined) return least;
-  return least * 2 ** ((now - endedAt) / DOUBLING_MS);
+  const limitPerS = Math.max(perS, MIN_PER_S);
+  if (endedAt === undefined) return limitPerS;
+  return limitPerS * 2 ** ((now - endedAt) / DOUBLING_MS);
 };
