--- a/src/gateway/engineFailureReporter.ts
+++ b/src/gateway/engineFailureReporter.ts
@@ -16,7 +16,7 @@
   constructor(private readonly options: EngineFailureReporterOptions) {}
 
   /** The engine does not respond: no other request should be placed on it. */
-  onSilentRead(progress: RequestProgress, engine: string): RoundResult {
+  onSilentPrefill(progress: RequestProgress, engine: string): RoundResult {
     const { caller, grantId } = progress;
     this.reportSilent(progress, engine);
     const why = "the engine says nothing";
--- a/src/gateway/promptReader.ts
+++ b/src/gateway/promptPrefiller.ts
@@ -12,11 +12,11 @@
 import { readWholeBody } from "./upstreamClient.js";
 
 /** An engine is first probed after this many times the expected time, … */
-const READ_PROBE_FACTOR = 2;
+const PREFILL_PROBE_FACTOR = 2;
 /** … plus this, for network hops and the error of the estimate, ms. */
-const READ_SLACK_MS = 250;
+const PREFILL_SLACK_MS = 250;
 
-export type ReadOutcome =
+export type PrefillOutcome =
   | { kind: "read"; handle: KvHandle }
   | { kind: "wrong-stage" }
   /** The engine accepts no work for now. */
@@ -26,7 +26,7 @@
   | { kind: "failed"; why: string };
 
 /** Where a prompt is to be prefilled, and with what expectations. */
-export interface ReadRequest {
+export interface PrefillRequest {
   reader: string;
   /** Expected time to the end of the prefill, ms. */
   expectedMs: number;
@@ -35,7 +35,7 @@
   cacheSource: string | undefined;
 }
 
-export class PromptReader {
+export class PromptPrefiller {
   constructor(
     private readonly calls: EngineCalls,
     private readonly watch: EngineWatch,
@@ -46,13 +46,13 @@
    * Resolves early if the engine is lost or has lost the request. A slow
    * engine is waited for, because cancelling discards its finished work.
    */
-  async read(
+  async prefill(
     caller: CallerRequest,
-    request: ReadRequest,
-  ): Promise<ReadOutcome> {
+    request: PrefillRequest,
+  ): Promise<PrefillOutcome> {
     const { reader, expectedMs } = request;
     const stop = new BoundedCancellation(caller.cancellation, undefined);
-    const intervalMs = expectedMs * READ_PROBE_FACTOR + READ_SLACK_MS;
+    const intervalMs = expectedMs * PREFILL_PROBE_FACTOR + PREFILL_SLACK_MS;
     let isSilent = false;
     const onNotWorking = (activity: EngineActivity): void => {
       isSilent = activity === "silent";
@@ -65,7 +65,7 @@
       onNotWorking,
     );
     try {
-      const outcome = await this.sendRead(caller, request, stop);
+      const outcome = await this.sendPrefill(caller, request, stop);
       return isSilent ? { kind: "silent" } : outcome;
     } finally {
       watch.cancel();
@@ -73,11 +73,11 @@
     }
   }
 
-  private async sendRead(
+  private async sendPrefill(
     caller: CallerRequest,
-    { reader, cacheSource, grantedAt }: ReadRequest,
+    { reader, cacheSource, grantedAt }: PrefillRequest,
     stop: Cancellation,
-  ): Promise<ReadOutcome> {
+  ): Promise<PrefillOutcome> {
     const { codec } = this.options;
     const sent = await this.calls.send(caller, reader, stop, {
       deadlineMs: Math.round(caller.leftMs()),
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -26,7 +26,7 @@
   overdueResult,
 } from "./requestProgress.js";
 import type { RequestProgress, RoundResult } from "./requestProgress.js";
-import { PromptReader } from "./promptReader.js";
+import { PromptPrefiller } from "./promptPrefiller.js";
 import type { RetryBudgets } from "./retryBudgets.js";
 import type { KvHandle } from "./types.js";
 import { afterBackOffMs, failureOf } from "./verdicts.js";
@@ -48,7 +48,7 @@
 export class StreamFlow {
   private readonly calls: EngineCalls;
   private readonly failures: EngineFailureReporter;
-  private readonly reader: PromptReader;
+  private readonly prefiller: PromptPrefiller;
   private readonly engineRun: EngineRun;
   private sequence = 0;
 
@@ -60,7 +60,7 @@
     this.calls = new EngineCalls(options);
     this.failures = new EngineFailureReporter(options);
     const watch = new EngineWatch(options);
-    this.reader = new PromptReader(this.calls, watch, options);
+    this.prefiller = new PromptPrefiller(this.calls, watch, options);
     this.engineRun = new EngineRun(this.calls, watch, this.failures, options);
   }
 
@@ -182,9 +182,9 @@
     if (caller.cancellation.isCancelled) return overdueResult(progress);
     let handle: KvHandle | undefined;
     if (grant.reader !== undefined) {
-      const read = await this.readPrompt(progress, grant, grant.reader);
-      if (read.kind !== "read") return read;
-      handle = read.handle;
+      const prefilled = await this.prefillPrompt(progress, grant, grant.reader);
+      if (prefilled.kind !== "read") return prefilled;
+      handle = prefilled.handle;
     }
     const round = await this.engineRun.run(progress, grant, handle);
     if (round.kind !== "done" && handle !== undefined)
@@ -192,7 +192,7 @@
     return round;
   }
 
-  private async readPrompt(
+  private async prefillPrompt(
     progress: RequestProgress,
     grant: Grant,
     reader: string,
@@ -205,23 +205,28 @@
       grantedAt: progress.grantedAt,
       cacheSource: this.calls.addressOf(grant.donor),
     };
-    const read = await this.reader.read(caller, order);
-    if (read.kind === "wrong-stage")
+    const outcome = await this.prefiller.prefill(caller, order);
+    if (outcome.kind === "wrong-stage")
       return this.failures.onWrongStage(progress, reader);
-    if (read.kind === "silent")
-      return this.failures.onSilentRead(progress, reader);
-    if (read.kind === "unavailable" && !caller.cancellation.isCancelled)
-      return this.failures.onRejected(progress, reader, "read", read.why);
-    const ok = read.kind === "read";
+    if (outcome.kind === "silent")
+      return this.failures.onSilentPrefill(progress, reader);
+    if (outcome.kind === "unavailable" && !caller.cancellation.isCancelled)
+      return this.failures.onRejected(progress, reader, "read", outcome.why);
+    const ok = outcome.kind === "read";
     placement.reportEvent(caller.service, { kind: "read", id: grantId, ok });
-    if (read.kind === "read") {
-      if (!caller.cancellation.isCancelled) return read;
-      this.calls.releaseHandle(caller.service, read.handle);
+    if (outcome.kind === "read") {
+      if (!caller.cancellation.isCancelled) return outcome;
+      this.calls.releaseHandle(caller.service, outcome.handle);
       return overdueResult(progress);
     }
     if (caller.isPastDeadline) return overdueResult(progress);
-    this.failures.logSendFailure(caller, reader, "read", read.why);
-    return { kind: "failed", verdict: "not-run", why: read.why, avoid: reader };
+    this.failures.logSendFailure(caller, reader, "read", outcome.why);
+    return {
+      kind: "failed",
+      verdict: "not-run",
+      why: outcome.why,
+      avoid: reader,
+    };
   }
 
   private reportFirstEvent(progress: RequestProgress): void {
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -41,7 +41,7 @@
  * Events are batched with a request or other events for this long, ms: read
  * ends, after which the holder assigns the next reads, …
  */
-const READ_EVENT_DELAY_MS = 6;
+const PREFILL_EVENT_DELAY_MS = 6;
 /** … and all others, which free capacity. */
 const EVENT_DELAY_MS = 30;
 /** Timeout for the holder to accept the stream, ms. */
@@ -175,7 +175,7 @@
     if (this.eventTimer !== undefined && (this.isUrgent || !isUrgent)) return;
     clearTimeout(this.eventTimer);
     this.isUrgent = isUrgent;
-    const waitMs = isUrgent ? READ_EVENT_DELAY_MS : EVENT_DELAY_MS;
+    const waitMs = isUrgent ? PREFILL_EVENT_DELAY_MS : EVENT_DELAY_MS;
     this.eventTimer = setTimeout(() => this.send({}), waitMs);
   }
 
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -489,11 +489,15 @@
     const work = prefillWorkOf(request.promptTokens, cached);
     reader.addPrefill(request.id, work, costMs * this.schedulerCount(), now);
     reader.markPending(parts);
-    const separateReader = reader === runner ? undefined : reader;
-    this.placed.add(request, { reader: separateReader, runner, parts }, now);
+    const separatePrefillEngine = reader === runner ? undefined : reader;
+    this.placed.add(
+      request,
+      { reader: separatePrefillEngine, runner, parts },
+      now,
+    );
     return {
       kind: "granted",
-      reader: separateReader?.view.id,
+      reader: separatePrefillEngine?.view.id,
       runner: runner.view.id,
       donor: plan?.donor?.view.id,
       readMs: plan?.endMs ?? 0,
--- a/src/scheduling/waitQueue.ts
+++ b/src/scheduling/waitQueue.ts
@@ -117,9 +117,9 @@
     const ahead = this.late.filter((other) => !precedesLate(item, other));
     const aheadMs = (costOf(this.onTime) + costOf(ahead)) / load.engines;
     const share = Math.min(MAX_ON_TIME_SHARE, load.onTimeShare);
-    const readingMs = (load.backlogMs + aheadMs) / (1 - share);
+    const prefillMs = (load.backlogMs + aheadMs) / (1 - share);
     const before = this.onTime.length + ahead.length;
-    return Math.max(readingMs, capacityDelayMs(load, before));
+    return Math.max(prefillMs, capacityDelayMs(load, before));
   }
 
   add(item: QueuedRequest, now: number): void {
