--- a/src/gateway/cacheListLoader.ts
+++ b/src/gateway/cacheListLoader.ts
@@ -13,7 +13,7 @@
 import type { Replica } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An engine that has not responded by then is left out, ms. */
+/** Timeout after which an engine is left out, ms. */
 const LIST_TIMEOUT_MS = 1000;
 /** Room for about ten thousand prompt parts of 50 bytes each. */
 const MAX_LIST_BYTES = 512 * 1024;
--- a/src/gateway/engineFailureReporter.ts
+++ b/src/gateway/engineFailureReporter.ts
@@ -55,8 +55,8 @@
   }
 
   /**
-   * The engine has changed stage or is gone: the scheduler is told, but it does
-   * not count as a fault.
+   * The engine has changed stage or is gone. This is reported to the scheduler
+   * but does not count as a fault.
    */
   onWrongStage(progress: RequestProgress, engine: string): RoundResult {
     const { caller, grantId } = progress;
--- a/src/gateway/engineWatch.ts
+++ b/src/gateway/engineWatch.ts
@@ -10,7 +10,7 @@
 import type { EngineCallsOptions } from "./engineCalls.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An engine that does not answer the probe by then counts as silent, ms. */
+/** Timeout of a probe, after which the engine counts as silent, ms. */
 const PROBE_TIMEOUT_MS = 250;
 
 /**
--- a/src/gateway/plainFlow.ts
+++ b/src/gateway/plainFlow.ts
@@ -1,4 +1,6 @@
-/** Serves requests to plain services, with retries on other replicas if safe. */
+/**
+ * Serves requests to plain services, with retries on other replicas if safe.
+ */
 import { LRUCache } from "lru-cache";
 
 import { afterFailure, afterSuccess, HEALTHY } from "../routing/health.js";
@@ -33,7 +35,7 @@
 const CROSS_DOMAIN_COST = 1;
 /** Replicas whose health is kept; the least recently used are evicted. */
 const MAX_HEALTH_ENTRIES = 4096;
-/** Most sends of one request, including those that replicas refused. */
+/** Maximum sends of one request, including those that replicas refused. */
 const MAX_SENDS = 4;
 const HTTP_SERVER_ERROR = 500;
 const AT_LIMIT = "all replicas take no more for the moment";
--- a/src/gateway/quarantineTrials.ts
+++ b/src/gateway/quarantineTrials.ts
@@ -9,10 +9,10 @@
 
 /** Attempts to claim a trial that may conflict with other writers. */
 const MAX_CONFLICTS = 4;
-/** The prompt of a model request may be read on one replica and run on another. */
+/** A model request may be prefilled on one replica and run on another. */
 const ENGINE_TRIAL_SENDS = 2;
 
-/** Most sends to replicas that a trial of the request may take. */
+/** Maximum sends to replicas that a trial of the request may take. */
 export const maxTrialSends = (caller: CallerRequest): number =>
   caller.head.prompt === undefined ? 1 : ENGINE_TRIAL_SENDS;
 
--- a/src/gateway/replicaClient.ts
+++ b/src/gateway/replicaClient.ts
@@ -1,8 +1,9 @@
 /**
- * Sends all requests to replicas. It records the signals in every response,
- * and checks them again just before work is sent, since replicas are chosen
+ * Sends all requests to replicas. It records the signals in every response, and
+ * checks them again just before work is sent, since replicas are chosen
  * earlier, elsewhere and on older signals: a run is granted while its prompt is
- * still read on another engine, and a request may wait for a connection.
+ * still being prefilled on another engine, and a request may wait for a
+ * connection.
  */
 import type { IncomingMessage } from "node:http";
 
@@ -25,15 +26,15 @@
  * request probes it; a restart takes seconds.
  */
 const REFUSED_BACK_OFF_MS = 1000;
-/** Longest part of a header value that is logged, characters. */
+/** Maximum length of a logged header value, characters; the rest is cut off. */
 const MAX_LOGGED_CHARS = 80;
 /** Replicas whose last unparsable signal is kept, to log each only once. */
 const MAX_UNPARSED = 1024;
 /**
- * Lifetime of a permit, ms. A request delayed by a read on another engine or a
- * wait for a connection must not add to the requests that follow it. With this
- * lifetime and the burst of permits, a replica receives less than 1.5 times its
- * limit in any four seconds.
+ * Lifetime of a permit, ms. A request delayed by a prefill on another engine or
+ * a wait for a connection must not add to the requests that follow it. With
+ * this lifetime and the burst of permits, a replica receives less than 1.5
+ * times its limit in any four seconds.
  */
 const PERMIT_VALID_MS = 1500;
 const AT_LIMIT = "the replica takes no more for the moment";
--- a/src/gateway/replicaEndDetector.ts
+++ b/src/gateway/replicaEndDetector.ts
@@ -24,11 +24,11 @@
 const CALLER_LEFT_MS = 1000;
 /** Interval between probes of one address, ms; interruptions come in bursts. */
 const PROBE_INTERVAL_MS = 100;
-/** Most replicas whose interrupted responses are remembered. */
+/** Maximum number of replicas whose interrupted responses are kept. */
 const MAX_REPLICAS = 256;
-/** Most requests remembered per replica; a replica has no more slots. */
+/** Maximum number of requests kept per replica, which has no more slots. */
 const MAX_REQUESTS = 256;
-/** Most digests in one log line. */
+/** Maximum number of digests in one log line. */
 const MAX_LOGGED = 8;
 
 /** What confirmed the end of a replica. */
@@ -70,7 +70,9 @@
 
   constructor(private readonly options: ReplicaEndDetectorOptions) {}
 
-  /** Watches one send until its end. `isRefused`: the replica did not run it. */
+  /**
+   * Watches one send until its end. `isRefused`: the replica did not run it.
+   */
   track(
     caller: CallerRequest,
     replica: Replica,
--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -21,9 +21,9 @@
 
 /** Order timeout, ms. An order that timed out may still be executed. */
 const ORDER_TIMEOUT_MS = 1500;
-/** A change that the replica list does not show by then is given up, ms. */
+/** Timeout for a stage change to appear in the replica list, ms. */
 const CHANGE_TIMEOUT_MS = 15_000;
-/** Pause after a refused order, ms. */
+/** Delay before the next attempt after a refused order, ms. */
 const REFUSED_PAUSE_MS = 1000;
 /** Maximum orders of one step, each to a different engine. */
 const MAX_ORDERS_PER_STEP = 4;
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -90,11 +90,13 @@
 
 /** A running replica of a service. */
 export interface Replica {
-  /** Identifies one run of the replica; state kept for it ends with the run. */
+  /**
+   * Identifies one incarnation of the replica; state kept for it ends with it.
+   */
   id: string;
   /** Name that the replica answers to; it may stay the same over a restart. */
   name: string;
-  /** Start of this run, ms since 1970; undefined if the replica reports none. */
+  /** Start of the incarnation, ms since 1970; undefined if not reported. */
   startedAt: number | undefined;
   service: string;
   /** IP and port. */
@@ -183,7 +185,9 @@
 export interface ReplicaSignal {
   /** The replica is about to shut down. */
   isLeaving: boolean;
-  /** How long this process must not send requests, ms; 0 or less: no back-off. */
+  /**
+   * How long this process must not send requests, ms; 0 or less: no back-off.
+   */
   backOffMs: number | undefined;
   /** Back-off header that could not be parsed. */
   unreadBackOff?: string;
--- a/src/gateway/unknownHeaders.ts
+++ b/src/gateway/unknownHeaders.ts
@@ -7,7 +7,7 @@
 
 /** Bound on remembered names, since replicas may send any number of them. */
 const MAX_NAMES = 64;
-/** Longest part of a header name that is logged, characters. */
+/** Maximum length of a logged header name, characters; the rest is cut off. */
 const MAX_LOGGED_CHARS = 80;
 
 export class UnknownHeaders {
--- a/src/gateway/usageTracker.ts
+++ b/src/gateway/usageTracker.ts
@@ -44,7 +44,7 @@
 export class UsageTracker {
   private readonly counts: UsageCounts;
   private readonly ledger = new UsageLedger();
-  /** Identifies this run of the process; counts of earlier runs are added. */
+  /** Identifies the process from its start; counts from before are added. */
   private readonly process: string;
   private readonly reporters = new Map<string, UsageReporter>();
 
--- a/src/gateway/verdicts.ts
+++ b/src/gateway/verdicts.ts
@@ -36,7 +36,7 @@
 export const afterBackOffMs = (leftMs: number, rng: Rng): number =>
   leftMs + rng() * AFTER_BACK_OFF_JITTER_MS;
 
-/** The failure of a request that got no usable answer from any replica. */
+/** The failure of a request that got no usable response from any replica. */
 export const failureOf = (
   verdict: Verdict,
   why: string,
--- a/src/placement/localPlacement.ts
+++ b/src/placement/localPlacement.ts
@@ -70,7 +70,7 @@
 
   /**
    * Takes over a grant given by another scheduler; `isRead`: an engine has
-   * already read its prompt.
+   * already prefilled its prompt.
    */
   adopt(request: PlacementRequest, grant: Grant, isRead = false): void {
     const scheduler = this.refresh(request.service);
--- a/src/placement/messages.ts
+++ b/src/placement/messages.ts
@@ -105,7 +105,7 @@
   isFresh: boolean;
   /** Rank of the receiving standby in the takeover order. */
   standbyRank: number;
-  /** Measured read pace; undefined if unchanged. */
+  /** Measured prefill pace; undefined if unchanged. */
   readPace: PrefillCost | undefined;
   /** The lease as the holder last wrote it; zeros if it has none. */
   leaseEpoch: number;
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -38,8 +38,8 @@
  */
 const ANSWER_TIMEOUT_MS = 90;
 /**
- * Events are batched with a request or other events for this long, ms: read
- * ends, after which the holder assigns the next reads, …
+ * Events are batched with a request or other events for this long, ms:
+ * prefill ends, after which the holder assigns the next prefills, …
  */
 const PREFILL_EVENT_DELAY_MS = 6;
 /** … and all others, which free capacity. */
@@ -94,7 +94,7 @@
   private queuedCount = 0;
   private events: PlaceEvent[] = [];
   private eventTimer: NodeJS.Timeout | undefined;
-  /** Whether the pending events include a read end and are sent sooner. */
+  /** Whether the pending events include a prefill end and are sent sooner. */
   private isUrgent = false;
   /** When the first request since the last reply was sent, ms. */
   private silentSince: number | undefined;
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -40,7 +40,8 @@
 
 /**
  * Standbys that try to take over a lost lease at once. As many more follow
- * after each pause, so that a large fleet does not query the store all at once.
+ * after each interval, so that a large fleet does not query the store all at
+ * once.
  */
 export const CONCURRENT_STANDBYS = 3;
 
@@ -94,7 +95,7 @@
    * close too, and its requests must not count as running.
    */
   private readonly open = new Map<PlaceStream, Set<string>>();
-  /** Read pace last sent to each stream. */
+  /** Prefill pace last sent to each stream. */
   private readonly sentPace = new WeakMap<
     PlaceStream,
     PrefillCost | undefined
@@ -339,7 +340,8 @@
   }
 
   /**
-   * The measured read pace, if it has changed since it was sent to the stream.
+   * The measured prefill pace, if it has changed since it was sent to the
+   * stream.
    */
   private paceUpdate(
     service: string,
--- a/src/placement/rateMessages.ts
+++ b/src/placement/rateMessages.ts
@@ -7,7 +7,7 @@
 
 const MAX_UINT32 = 2 ** 32 - 1;
 
-/** Rounds up to uint32 ms, so that nobody asks too early. */
+/** Rounds up to uint32 ms, so that nobody sends a request too early. */
 const toUint32Ms = (ms: number): number =>
   Math.min(MAX_UINT32, Math.max(0, Math.ceil(ms) || 0));
 
--- a/src/placement/ratePermits.ts
+++ b/src/placement/ratePermits.ts
@@ -1,8 +1,8 @@
 /**
  * Decides which process allocates the rate of a limited replica: the lease
  * holder of its service or, for a plain service (whose requests are not
- * placed), the holder of the first service that has one. All others ask it for
- * permits.
+ * placed), the holder of the first service that has one. All others request
+ * permits from it.
  */
 import type {
   PermitAnswer,
--- a/src/placement/sharedPlacement.ts
+++ b/src/placement/sharedPlacement.ts
@@ -78,7 +78,7 @@
 interface InUse {
   request: PlacementRequest;
   grant: Grant;
-  /** Whether an engine has read its prompt. */
+  /** Whether an engine has prefilled its prompt. */
   isRead: boolean;
 }
 
@@ -131,7 +131,7 @@
     this.connections.get(service)?.client?.reportEvent(event);
   }
 
-  /** Tracks what a new holder has to be told about the request. */
+  /** Tracks the grant, which has to be reported to a new holder. */
   private follow(event: PlacementEvent): void {
     if (event.kind === "ended") this.inUse.delete(event.id);
     const isRead = event.kind === "read" || event.kind === "begun";
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -45,7 +45,7 @@
 
 interface KnownRecord {
   record: QuarantineRecord;
-  /** When this process learned of this step, ms. */
+  /** When this process received this step, ms. */
   since: number;
 }
 
@@ -79,7 +79,9 @@
     return this.sizes.has(sizePrefix(bodyBytes));
   }
 
-  /** Records that a replica incarnation ended while these requests were on it. */
+  /**
+   * Records that a replica incarnation ended while these requests were on it.
+   */
   recordReplicaEnd(digests: readonly string[], incarnation: string): void {
     this.suspects.add(digests, incarnation);
     this.sizes = undefined;
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -2,9 +2,9 @@
  * Rate limits that replicas have reported, and the share of them that this
  * process may use. A limit applies to the sum over all senders, including those
  * that have not received it: the allocator (the process that places for all)
- * spends the whole rate and the others ask it for permits. They spend a small
- * share themselves only while it can't be reached. Pure; entries are keyed by
- * replica incarnation, and times are ms of one clock.
+ * spends the whole rate and the others request permits from it. They spend a
+ * small share themselves only while it can't be reached. Pure; entries are
+ * keyed by replica incarnation, and times are ms of one clock.
  */
 import { LRUCache } from "lru-cache";
 
@@ -18,7 +18,7 @@
 const MAX_INCARNATIONS = 8192;
 /**
  * Minimum rate per second: a replica whose limit is zero still gets one request
- * in five seconds, since only an answer to real work tells that the limit has
+ * in five seconds, since only a response to real work shows that the limit has
  * been raised.
  */
 const MIN_PER_S = 0.2;
@@ -46,9 +46,9 @@
 
 interface KnownLimit {
   perS: number;
-  /** When an answer last reported it, here or at another process. */
+  /** When a response last reported it, here or at another process. */
   reportedAt: number;
-  /** Since when answers have not reported it. */
+  /** Since when responses have not reported it. */
   endedAt: number | undefined;
   bucket: PermitBucket;
   slots: PermitSlots;
@@ -59,13 +59,13 @@
   refusals: DecayingSum;
 }
 
-/** What one answer reports of its replica's limit. */
+/** What one response reports of its replica's limit. */
 export interface RateReport {
   /** Undefined: no limit reported. */
   perS: number | undefined;
   /**
-   * Whether the answer would report a limit if there were one: true for a
-   * successful answer to real work.
+   * Whether the response would report a limit if there were one: true for a
+   * successful response to real work.
    */
   mayEnd: boolean;
   /** When the answered request was sent. */
@@ -85,7 +85,7 @@
   constructor(private readonly rng: Rng) {}
 
   /**
-   * Records an answer; returns the update to send to other processes, if
+   * Records a response; returns the update to send to other processes, if
    * anything changed.
    */
   recordAnswer(
@@ -172,7 +172,7 @@
     return false;
   }
 
-  /** Time after which to ask again, ms. */
+  /** Time after which to request a permit again, ms. */
   waitMs(replica: string, now: number): number {
     const known = this.activeLimit(replica, now);
     if (known === undefined) return 0;
--- a/src/rateLimits/rateNewsFilter.ts
+++ b/src/rateLimits/rateNewsFilter.ts
@@ -1,9 +1,9 @@
 /**
  * Selects the rate limits that one peer has to be sent: those that are new to
  * it, have ended, or differ much from what it was last sent. Otherwise a limit
- * that changes with each answer would be sent to each process of a large fleet
- * each time. Keeps only limits in force, since a lease holder has one filter
- * per process. Pure.
+ * that changes with each response would be sent to each process of a large
+ * fleet each time. Keeps only limits in force, since a lease holder has one
+ * filter per process. Pure.
  */
 import type { RateNews } from "./types.js";
 
--- a/src/rateLimits/types.ts
+++ b/src/rateLimits/types.ts
@@ -9,7 +9,7 @@
   /** Requests per second that it takes from all processes together. */
   perS: number;
   /**
-   * Time since its answers stopped reporting the limit, ms; undefined while
+   * Time since its responses stopped reporting the limit, ms; undefined while
    * they report it.
    */
   endedAgoMs: number | undefined;
@@ -20,8 +20,8 @@
   /** Fraction of the rate, 0 to 1. */
   fraction: number;
   /**
-   * Whether this process allocates the rate: others ask it for permits and use
-   * none by themselves.
+   * Whether this process allocates the rate: others request permits from it and
+   * use none by themselves.
    */
   isAllocator: boolean;
 }
@@ -29,7 +29,7 @@
 /** Whether one more request may be sent to a replica. */
 export type PermitAnswer =
   | { kind: "acquired" }
-  /** `waitMs`: when to ask again. */
+  /** `waitMs`: time after which to request a permit again, ms. */
   | { kind: "held-back"; waitMs: number };
 
 /** What the scheduler needs to know about the rate limits of engines. */
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -2,7 +2,7 @@
  * Admits model requests and chooses the engines that prefill and decode them.
  * Pure: takes requests, events and the current time, and returns answers. One
  * scheduler serves all entries of a service while it is reachable; each entry
- * falls back to its ownPlan scheduler when it is not.
+ * falls back to its own scheduler when it is not.
  */
 import { NO_LIMITS } from "../rateLimits/index.js";
 import type { EnginePermits } from "../rateLimits/index.js";
@@ -218,8 +218,8 @@
       ? undefined
       : this.tryGrant(candidates, plan);
     if (grant !== undefined) return grant;
-    // Waiting does not end a back-off, so the caller is told at once when to
-    // retry.
+    // Waiting does not end a back-off, so the request is refused at once with a
+    // retry delay.
     const eligible = this.engines.eligibleFor(request, now);
     if (request.unavailable.length > 0 && isMissingStage(eligible)) {
       return refuse(request, "no-engine");
