--- a/src/gateway/availability.ts
+++ b/src/gateway/availability.ts
@@ -64,7 +64,7 @@
 };
 
 export class Availability {
-  private readonly known = new LRUCache<string, SignalState>({
+  private readonly states = new LRUCache<string, SignalState>({
     max: MAX_INCARNATIONS,
   });
   /** Replicas that leave, back off or await a probe; few at any time. */
@@ -83,18 +83,18 @@
     isProven: boolean,
     now: number,
   ): SignalChange {
-    const before = this.known.get(id);
+    const before = this.states.get(id);
     const { isLeaving, backOffMs = 0 } = signal;
     if (!isLeaving && backOffMs <= 0) {
       if (before !== undefined) endProbe(before, now);
       return undefined;
     }
-    const known = { ...(before ?? NO_SIGNALS) };
-    const wasLeaving = known.leavingUntil > now;
-    const wasBackingOff = known.backOffUntil > now;
-    if (isLeaving) applyLeaving(known, isProven, now);
-    if (backOffMs > 0) applyBackOff(known, backOffMs, now);
-    this.known.set(id, known);
+    const state = { ...(before ?? NO_SIGNALS) };
+    const wasLeaving = state.leavingUntil > now;
+    const wasBackingOff = state.backOffUntil > now;
+    if (isLeaving) applyLeaving(state, isProven, now);
+    if (backOffMs > 0) applyBackOff(state, backOffMs, now);
+    this.states.set(id, state);
     this.unavailable.add(id);
     if (isLeaving && !wasLeaving) return "leaving";
     return backOffMs > 0 && !wasBackingOff ? "backing-off" : undefined;
@@ -112,10 +112,10 @@
 
   /** Why no request may be sent to it; undefined if one may. */
   refusal(id: string, now: number): UnavailableReason | undefined {
-    const known = this.known.peek(id);
-    if (known === undefined) return undefined;
-    if (known.leavingUntil > now) return { kind: "leaving" };
-    const untilMs = blockedUntil(known, now);
+    const state = this.states.peek(id);
+    if (state === undefined) return undefined;
+    if (state.leavingUntil > now) return { kind: "leaving" };
+    const untilMs = blockedUntil(state, now);
     return untilMs > now ? { kind: "backing-off", untilMs } : undefined;
   }
 
@@ -125,23 +125,23 @@
    */
   refusalAtSend(id: string, now: number): UnavailableReason | undefined {
     const refusal = this.refusal(id, now);
-    const known = this.known.peek(id);
-    if (refusal === undefined && known?.needsProbe === true) {
-      known.probeUntil = now + PROBE_TIMEOUT_MS;
+    const state = this.states.peek(id);
+    if (refusal === undefined && state?.needsProbe === true) {
+      state.probeUntil = now + PROBE_TIMEOUT_MS;
     }
     return refusal;
   }
 
   /** Whether it began to leave recently enough to be used as a last resort. */
   isLastResort(id: string, now: number): boolean {
-    const since = this.known.peek(id)?.leavingSince;
+    const since = this.states.peek(id)?.leavingSince;
     return since !== undefined && now - since < this.lastResortMs;
   }
 
   /** Instant of the next change of its leaving state, ms; Infinity if none. */
   leavingUnchangedUntil(id: string, now: number): number {
     const { leavingSince: since, leavingUntil } =
-      this.known.peek(id) ?? NO_SIGNALS;
+      this.states.peek(id) ?? NO_SIGNALS;
     if (since === undefined) return Infinity;
     const ends = [since + this.lastResortMs, leavingUntil];
     return Math.min(...ends.filter((end) => end > now));
@@ -160,37 +160,37 @@
 
   /** Whether its last back-off still needs a successful probe. */
   private awaitsProbe(id: string): boolean {
-    return this.known.peek(id)?.needsProbe ?? false;
+    return this.states.peek(id)?.needsProbe ?? false;
   }
 }
 
 const applyLeaving = (
-  known: SignalState,
+  state: SignalState,
   isProven: boolean,
   now: number,
 ): void => {
   const longest = isProven ? MAX_SIGNAL_MS : UNPROVEN_LEAVING_MS;
-  known.leavingSince ??= now;
-  known.leavingUntil = Math.max(known.leavingUntil, now + longest);
+  state.leavingSince ??= now;
+  state.leavingUntil = Math.max(state.leavingUntil, now + longest);
 };
 
 /** A back-off requested during another one extends it. */
 const applyBackOff = (
-  known: SignalState,
+  state: SignalState,
   backOffMs: number,
   now: number,
 ): void => {
   const until = now + Math.min(backOffMs, MAX_SIGNAL_MS);
-  known.backOffUntil = Math.max(known.backOffUntil, until);
-  known.needsProbe = true;
-  known.probeUntil = -Infinity;
+  state.backOffUntil = Math.max(state.backOffUntil, until);
+  state.needsProbe = true;
+  state.probeUntil = -Infinity;
 };
 
 /** Responses to requests in flight when it was requested do not end it. */
-const endProbe = (known: SignalState, now: number): void => {
-  if (!known.needsProbe || known.backOffUntil > now) return;
-  known.needsProbe = false;
-  known.probeUntil = -Infinity;
+const endProbe = (state: SignalState, now: number): void => {
+  if (!state.needsProbe || state.backOffUntil > now) return;
+  state.needsProbe = false;
+  state.probeUntil = -Infinity;
 };
 
 /**
--- a/src/gateway/plainFlow.ts
+++ b/src/gateway/plainFlow.ts
@@ -114,7 +114,7 @@
       if (attempt.kind === "answer") {
         answer = attempt;
         runs += 1;
-        if (!this.shouldRetryAnswer(caller, attempt, runs)) break;
+        if (!this.shouldRetryResponse(caller, attempt, runs)) break;
         continue;
       }
       verdict = worseVerdict(verdict, attempt.verdict);
@@ -145,7 +145,7 @@
   }
 
   /** Whether a safe request with a 5xx response is tried on another replica. */
-  private shouldRetryAnswer(
+  private shouldRetryResponse(
     caller: CallerRequest,
     attempt: Attempt & { kind: "answer" },
     runs: number,
--- a/src/gateway/replicaEndDetector.ts
+++ b/src/gateway/replicaEndDetector.ts
@@ -100,9 +100,9 @@
 
   /** A replica was removed from the list. */
   onReplicaRemoved(replica: Replica): void {
-    const known = this.interrupted.get(replica.id);
-    if (known === undefined || replica.state !== "ready") return;
-    this.confirm(known, "left the list");
+    const record = this.interrupted.get(replica.id);
+    if (record === undefined || replica.state !== "ready") return;
+    this.confirm(record, "left the list");
   }
 
   /** A complete response disproves an end that had been confirmed. */
@@ -116,16 +116,16 @@
     const listed = this.options.replicas.get(replica.id);
     if (listed?.state !== "ready") return;
     const now = this.options.now();
-    const known = this.recordFor(replica);
+    const record = this.recordFor(replica);
     // If the caller disconnected, this process closed the connection.
     const hasLeft = caller.cancellation.isCancelled;
     const until = now + (hasLeft ? CALLER_LEFT_MS : CONFIRM_MS);
-    this.remember(known, caller.digest, until);
-    if (known.evidence !== undefined) {
-      if (!hasLeft) this.report(known, [caller.digest]);
+    this.remember(record, caller.digest, until);
+    if (record.evidence !== undefined) {
+      if (!hasLeft) this.report(record, [caller.digest]);
       return;
     }
-    if (!hasLeft) this.probe(known);
+    if (!hasLeft) this.probe(record);
   }
 
   private remember(
@@ -146,8 +146,8 @@
 
   private recordFor(replica: Replica): InterruptedResponses {
     const id = replica.id;
-    const known = this.interrupted.get(id);
-    if (known !== undefined) return known;
+    const record = this.interrupted.get(id);
+    if (record !== undefined) return record;
     const fresh: InterruptedResponses = {
       replica,
       requests: new Map(),
@@ -164,27 +164,27 @@
   }
 
   /** If the address still accepts connections, the list may confirm the end. */
-  private probe(known: InterruptedResponses): void {
-    known.mustProbeAgain = known.isProbing;
-    if (known.isProbing) return;
-    known.isProbing = true;
-    void this.options.client.probe(known.replica.address).then((found) => {
-      if (found === "refused") return this.confirm(known, "nobody listens");
+  private probe(record: InterruptedResponses): void {
+    record.mustProbeAgain = record.isProbing;
+    if (record.isProbing) return;
+    record.isProbing = true;
+    void this.options.client.probe(record.replica.address).then((found) => {
+      if (found === "refused") return this.confirm(record, "nobody listens");
       setTimeout(() => {
-        known.isProbing = false;
-        if (known.mustProbeAgain) this.probe(known);
+        record.isProbing = false;
+        if (record.mustProbeAgain) this.probe(record);
       }, PROBE_INTERVAL_MS).unref();
     });
   }
 
-  private confirm(known: InterruptedResponses, evidence: EndEvidence): void {
-    if (known.evidence !== undefined) return;
-    known.evidence = evidence;
+  private confirm(record: InterruptedResponses, evidence: EndEvidence): void {
+    if (record.evidence !== undefined) return;
+    record.evidence = evidence;
     this.options.metrics.count("replica_ended", { how: evidence });
     const now = this.options.now();
-    const there = [...known.requests].filter(([, until]) => until >= now);
+    const there = [...record.requests].filter(([, until]) => until >= now);
     this.report(
-      known,
+      record,
       there.map(([digest]) => digest),
     );
   }
--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -24,7 +24,7 @@
 /** Timeout for a stage change to appear in the replica list, ms. */
 const CHANGE_TIMEOUT_MS = 15_000;
 /** Delay before the next attempt after a refused order, ms. */
-const REFUSED_PAUSE_MS = 1000;
+const REFUSED_DELAY_MS = 1000;
 /** Maximum orders of one step, each to a different engine. */
 const MAX_ORDERS_PER_STEP = 4;
 /** Limit on responses to orders and state reports, bytes. */
@@ -161,7 +161,7 @@
     if (outcome.kind !== "refused") return;
     this.pendingChanges.delete(id);
     scheduler.suspendEngine(id, 0);
-    this.refusedUntil = now() + REFUSED_PAUSE_MS;
+    this.refusedUntil = now() + REFUSED_DELAY_MS;
   }
 
   private async send(
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -232,9 +232,9 @@
       this.standbys.set(service, standbys);
       return;
     }
-    const known = this.streams.get(service) ?? new Set();
-    known.add(stream);
-    this.streams.set(service, known);
+    const streams = this.streams.get(service) ?? new Set();
+    streams.add(stream);
+    this.streams.set(service, streams);
   }
 
   private onCall(stream: PlaceStream, call: PlaceCall): void {
@@ -328,15 +328,15 @@
 
   /** Rate limits that the stream has not been sent yet. */
   private rateUpdates(stream: PlaceStream): PlaceReply["rates"] {
-    const known = this.rateFilters.get(stream) ?? new RateNewsFilter();
-    this.rateFilters.set(stream, known);
-    return known.selectUpdates(this.options.rates()).map(toRateNews);
+    const filter = this.rateFilters.get(stream) ?? new RateNewsFilter();
+    this.rateFilters.set(stream, filter);
+    return filter.selectUpdates(this.options.rates()).map(toRateNews);
   }
 
   private addOpenRequest(stream: PlaceStream, id: string): void {
-    const known = this.open.get(stream) ?? new Set();
-    known.add(id);
-    this.open.set(stream, known);
+    const ids = this.open.get(stream) ?? new Set();
+    ids.add(id);
+    this.open.set(stream, ids);
   }
 
   /**
@@ -347,10 +347,10 @@
     service: string,
     stream: PlaceStream,
   ): PrefillCost | undefined {
-    const { learnedCost: known } =
+    const { learnedCost: cost } =
       this.options.placement.scheduler(service).prefillModel;
-    if (known === this.sentPace.get(stream)) return undefined;
-    this.sentPace.set(stream, known);
-    return known;
+    if (cost === this.sentPace.get(stream)) return undefined;
+    this.sentPace.set(stream, cost);
+    return cost;
   }
 }
