--- a/src/gateway/cacheListLoader.ts
+++ b/src/gateway/cacheListLoader.ts
@@ -13,7 +13,7 @@
 import type { Replica } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An engine that has not responded by then is left out, ms. */
+/** Timeout after which an engine is left out, ms. */
 const LIST_TIMEOUT_MS = 1000;
 /** Room for about ten thousand prompt parts of 50 bytes each. */
 const MAX_LIST_BYTES = 512 * 1024;
@@ -46,7 +46,7 @@
     const parts = counts.reduce((sum, count) => sum + count, 0);
     const tookMs = Math.round(now() - begun);
     const fields = { service, epoch, engines: engines.length, parts, tookMs };
-    log.info("caches asked", fields);
+    log.info("engine cache lists loaded", fields);
   }
 
   /** Loads one engine's list; returns the number of parts, 0 on failure. */
--- a/src/gateway/engineCalls.ts
+++ b/src/gateway/engineCalls.ts
@@ -14,7 +14,7 @@
 import type { UpstreamClient, UpstreamReply } from "./upstreamClient.js";
 
 /** Limit for handle responses, engine reports and error bodies, bytes. */
-export const MAX_SHORT_ANSWER_BYTES = 16 * 1024;
+export const MAX_SHORT_RESPONSE_BYTES = 16 * 1024;
 /** Timeout of the call that releases a KV handle, ms. */
 const RELEASE_TIMEOUT_MS = 1000;
 
@@ -87,7 +87,7 @@
     const { replicas, client, codec } = this.options;
     const replica = replicas.get(id);
     if (replica === undefined) {
-      const why = "replica is no longer listed";
+      const why = "the replica is gone";
       return { kind: "failed", verdict: "not-run", why };
     }
     await nextEventLoopTurn();
@@ -97,7 +97,7 @@
       return {
         kind: "failed",
         verdict: "not-run",
-        why: "request cancelled or past its deadline",
+        why: "its time is over",
       };
     }
     const quarantineRefusal = this.options.quarantine.refusal(caller);
--- a/src/gateway/engineFailureReporter.ts
+++ b/src/gateway/engineFailureReporter.ts
@@ -16,10 +16,10 @@
   constructor(private readonly options: EngineFailureReporterOptions) {}
 
   /** The engine does not respond: no other request should be placed on it. */
-  onSilentRead(progress: RequestProgress, engine: string): RoundResult {
+  onSilentPrefill(progress: RequestProgress, engine: string): RoundResult {
     const { caller, grantId } = progress;
     this.reportSilent(progress, engine);
-    const why = "engine did not respond";
+    const why = "the engine says nothing";
     this.logSendFailure(caller, engine, "read", why);
     const ended = { kind: "read" as const, id: grantId, ok: false };
     this.options.placement.reportEvent(caller.service, ended);
@@ -55,15 +55,15 @@
   }
 
   /**
-   * The engine has changed stage or is gone: the scheduler is told, but it does
-   * not count as a fault.
+   * The engine has changed stage or is gone. This is reported to the scheduler
+   * but does not count as a fault.
    */
   onWrongStage(progress: RequestProgress, engine: string): RoundResult {
     const { caller, grantId } = progress;
     const event = { kind: "wrong-stage" as const, id: grantId, engine };
     this.options.placement.reportEvent(caller.service, event);
     this.options.replicas.markMisdirected(engine, this.options.now());
-    const why = "engine has changed stage or is gone";
+    const why = "the engine does something else now";
     this.logSendFailure(caller, engine, "place", why);
     return {
       kind: "failed",
--- a/src/gateway/engineWatch.ts
+++ b/src/gateway/engineWatch.ts
@@ -5,12 +5,12 @@
  */
 import { BoundedCancellation, Cancellation } from "../shared/cancellation.js";
 import { errText } from "../shared/utils.js";
-import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
+import { MAX_SHORT_RESPONSE_BYTES } from "./engineCalls.js";
 import { isDifferentIncarnation } from "./replicaSet.js";
 import type { EngineCallsOptions } from "./engineCalls.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An engine that does not answer the probe by then counts as silent, ms. */
+/** Timeout of a probe, after which the engine counts as silent, ms. */
 const PROBE_TIMEOUT_MS = 250;
 
 /**
@@ -64,7 +64,7 @@
         cancellation,
       });
       if (sent.kind === "failed") return "silent";
-      const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
+      const whole = await readWholeBody(sent, MAX_SHORT_RESPONSE_BYTES);
       if (whole.kind === "cut") return "silent";
       const report = codec.readReport(whole.body.toString("utf8"));
       const { running, waiting } = report;
--- a/src/gateway/plainFlow.ts
+++ b/src/gateway/plainFlow.ts
@@ -1,4 +1,6 @@
-/** Serves requests to plain services, with retries on other replicas if safe. */
+/**
+ * Serves requests to plain services, with retries on other replicas if safe.
+ */
 import { LRUCache } from "lru-cache";
 
 import { afterFailure, afterSuccess, HEALTHY } from "../routing/health.js";
@@ -28,12 +30,12 @@
 } from "./verdicts.js";
 
 /** Maximum size of a buffered response, bytes. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 /** Added to the load of replicas in another failure domain, in requests. */
 const CROSS_DOMAIN_COST = 1;
 /** Replicas whose health is kept; the least recently used are evicted. */
 const MAX_HEALTH_ENTRIES = 4096;
-/** Most sends of one request, including those that replicas refused. */
+/** Maximum sends of one request, including those that replicas refused. */
 const MAX_SENDS = 4;
 const HTTP_SERVER_ERROR = 500;
 const AT_LIMIT = "all replicas take no more for the moment";
@@ -90,11 +92,11 @@
     let answer: Attempt | undefined;
     const maxSends = caller.isTrial ? 1 : MAX_SENDS;
     for (let sends = 0; sends < maxSends;) {
-      const barred = this.options.quarantine.refusal(caller);
-      if (barred !== undefined && answer === undefined) {
-        return caller.fail(barred);
+      const quarantineRefusal = this.options.quarantine.refusal(caller);
+      if (quarantineRefusal !== undefined && answer === undefined) {
+        return caller.fail(quarantineRefusal);
       }
-      if (barred !== undefined) break;
+      if (quarantineRefusal !== undefined) break;
       const replica = this.chooseReplica(caller, tried);
       if (replica === undefined) break;
       const permit = await this.permits.acquire(caller.service, replica.id);
@@ -112,7 +114,7 @@
       if (attempt.kind === "answer") {
         answer = attempt;
         runs += 1;
-        if (!this.shouldRetryAnswer(caller, attempt, runs)) break;
+        if (!this.shouldRetryResponse(caller, attempt, runs)) break;
         continue;
       }
       verdict = worseVerdict(verdict, attempt.verdict);
@@ -124,7 +126,7 @@
     }
     if (answer?.kind === "answer") {
       const { head, headers, body } = answer;
-      return caller.answerWhole(head.status, headers, body);
+      return caller.sendWholeResponse(head.status, headers, body);
     }
     if (caller.isPastDeadline) return caller.fail(deadlineFailure(verdict));
     caller.fail(failureOf(verdict, why, this.retryAfterMs(caller)));
@@ -143,7 +145,7 @@
   }
 
   /** Whether a safe request with a 5xx response is tried on another replica. */
-  private shouldRetryAnswer(
+  private shouldRetryResponse(
     caller: CallerRequest,
     attempt: Attempt & { kind: "answer" },
     runs: number,
@@ -261,7 +263,7 @@
         const fault = this.faultOf(replica, reply);
         return { kind: "failed", verdict: "not-run", why, fault };
       }
-      const whole = await readWholeBody(outcome, MAX_ANSWER_BYTES);
+      const whole = await readWholeBody(outcome, MAX_RESPONSE_BYTES);
       if (whole.kind === "cut") {
         return {
           kind: "failed",
@@ -270,7 +272,7 @@
           fault: "broken",
         };
       }
-      const headers = codec.answerHeaders(res.rawHeaders);
+      const headers = codec.responseHeaders(res.rawHeaders);
       return { kind: "answer", head: reply, headers, body: whole.body };
     } finally {
       cancellation.dispose();
--- a/src/gateway/promptReader.ts
+++ b/src/gateway/promptPrefiller.ts
@@ -6,17 +6,17 @@
 import type { Cancellation } from "../shared/cancellation.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { EngineCalls, EngineCallsOptions } from "./engineCalls.js";
-import { MAX_SHORT_ANSWER_BYTES } from "./engineCalls.js";
+import { MAX_SHORT_RESPONSE_BYTES } from "./engineCalls.js";
 import type { EngineActivity, EngineWatch } from "./engineWatch.js";
 import type { KvHandle } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
 /** An engine is first probed after this many times the expected time, … */
-const READ_PROBE_FACTOR = 2;
+const PREFILL_PROBE_FACTOR = 2;
 /** … plus this, for network hops and the error of the estimate, ms. */
-const READ_SLACK_MS = 250;
+const PREFILL_SLACK_MS = 250;
 
-export type ReadOutcome =
+export type PrefillOutcome =
   | { kind: "read"; handle: KvHandle }
   | { kind: "wrong-stage" }
   /** The engine accepts no work for now. */
@@ -26,7 +26,7 @@
   | { kind: "failed"; why: string };
 
 /** Where a prompt is to be prefilled, and with what expectations. */
-export interface ReadRequest {
+export interface PrefillRequest {
   reader: string;
   /** Expected time to the end of the prefill, ms. */
   expectedMs: number;
@@ -35,7 +35,7 @@
   cacheSource: string | undefined;
 }
 
-export class PromptReader {
+export class PromptPrefiller {
   constructor(
     private readonly calls: EngineCalls,
     private readonly watch: EngineWatch,
@@ -46,13 +46,13 @@
    * Resolves early if the engine is lost or has lost the request. A slow
    * engine is waited for, because cancelling discards its finished work.
    */
-  async read(
+  async prefill(
     caller: CallerRequest,
-    request: ReadRequest,
-  ): Promise<ReadOutcome> {
+    request: PrefillRequest,
+  ): Promise<PrefillOutcome> {
     const { reader, expectedMs } = request;
     const stop = new BoundedCancellation(caller.cancellation, undefined);
-    const intervalMs = expectedMs * READ_PROBE_FACTOR + READ_SLACK_MS;
+    const intervalMs = expectedMs * PREFILL_PROBE_FACTOR + PREFILL_SLACK_MS;
     let isSilent = false;
     const onNotWorking = (activity: EngineActivity): void => {
       isSilent = activity === "silent";
@@ -65,7 +65,7 @@
       onNotWorking,
     );
     try {
-      const outcome = await this.sendRead(caller, request, stop);
+      const outcome = await this.sendPrefill(caller, request, stop);
       return isSilent ? { kind: "silent" } : outcome;
     } finally {
       watch.cancel();
@@ -73,11 +73,11 @@
     }
   }
 
-  private async sendRead(
+  private async sendPrefill(
     caller: CallerRequest,
-    { reader, cacheSource, grantedAt }: ReadRequest,
+    { reader, cacheSource, grantedAt }: PrefillRequest,
     stop: Cancellation,
-  ): Promise<ReadOutcome> {
+  ): Promise<PrefillOutcome> {
     const { codec } = this.options;
     const sent = await this.calls.send(caller, reader, stop, {
       deadlineMs: Math.round(caller.leftMs()),
@@ -91,21 +91,21 @@
     }
     const { res, address } = sent;
     const reply = codec.readReply(res.statusCode ?? 0, res.headers);
-    const whole = await readWholeBody(sent, MAX_SHORT_ANSWER_BYTES);
+    const whole = await readWholeBody(sent, MAX_SHORT_RESPONSE_BYTES);
     if (reply.isMisdirected) return { kind: "wrong-stage" };
     if (reply.isNotRun || reply.status !== 200) {
-      const why = `prefill refused with status ${reply.status}`;
+      const why = `read refused with ${reply.status}`;
       const { replicas, now } = this.options;
       const isUnavailable =
         reply.isNotRun && replicas.signals.isUnavailable(reader, now());
       return { kind: isUnavailable ? "unavailable" : "failed", why };
     }
     if (reply.requestId !== undefined && reply.requestId !== caller.head.id) {
-      return { kind: "failed", why: "response belongs to another request" };
+      return { kind: "failed", why: "the answer belongs to another request" };
     }
     if (whole.kind === "cut") return { kind: "failed", why: whole.why };
     const handle = codec.readHandle(address, whole.body.toString("utf8"));
     if (handle !== undefined) return { kind: "read", handle };
-    return { kind: "failed", why: "response contains no KV handle" };
+    return { kind: "failed", why: "the answer names no handle" };
   }
 }
--- a/src/gateway/replicaEndDetector.ts
+++ b/src/gateway/replicaEndDetector.ts
@@ -24,11 +24,11 @@
 const CALLER_LEFT_MS = 1000;
 /** Interval between probes of one address, ms; interruptions come in bursts. */
 const PROBE_INTERVAL_MS = 100;
-/** Most replicas whose interrupted responses are remembered. */
+/** Maximum number of replicas whose interrupted responses are kept. */
 const MAX_REPLICAS = 256;
-/** Most requests remembered per replica; a replica has no more slots. */
+/** Maximum number of requests kept per replica, which has no more slots. */
 const MAX_REQUESTS = 256;
-/** Most digests in one log line. */
+/** Maximum number of digests in one log line. */
 const MAX_LOGGED = 8;
 
 /** What confirmed the end of a replica. */
@@ -50,7 +50,7 @@
 }
 
 /** Interrupted responses of one replica, and whether its end is confirmed. */
-interface InterruptedAnswers {
+interface InterruptedResponses {
   replica: Replica;
   /** Instant until which an end is attributed to the request, ms, by digest. */
   requests: Map<string, number>;
@@ -62,7 +62,7 @@
 }
 
 export class ReplicaEndDetector {
-  private readonly interrupted = new Map<string, InterruptedAnswers>();
+  private readonly interrupted = new Map<string, InterruptedResponses>();
   /** Called for each end, and for requests attributed to it later. */
   onEnd: (end: ReplicaEnd) => void = () => undefined;
   /** Called when a run completed and its replica survived. */
@@ -70,7 +70,9 @@
 
   constructor(private readonly options: ReplicaEndDetectorOptions) {}
 
-  /** Watches one send until its end. `isRefused`: the replica did not run it. */
+  /**
+   * Watches one send until its end. `isRefused`: the replica did not run it.
+   */
   track(
     caller: CallerRequest,
     replica: Replica,
@@ -98,9 +100,9 @@
 
   /** A replica was removed from the list. */
   onReplicaRemoved(replica: Replica): void {
-    const known = this.interrupted.get(replica.id);
-    if (known === undefined || replica.state !== "ready") return;
-    this.confirm(known, "left the list");
+    const record = this.interrupted.get(replica.id);
+    if (record === undefined || replica.state !== "ready") return;
+    this.confirm(record, "left the list");
   }
 
   /** A complete response disproves an end that had been confirmed. */
@@ -114,20 +116,20 @@
     const listed = this.options.replicas.get(replica.id);
     if (listed?.state !== "ready") return;
     const now = this.options.now();
-    const known = this.recordFor(replica);
+    const record = this.recordFor(replica);
     // If the caller disconnected, this process closed the connection.
     const hasLeft = caller.cancellation.isCancelled;
     const until = now + (hasLeft ? CALLER_LEFT_MS : CONFIRM_MS);
-    this.remember(known, caller.digest, until);
-    if (known.evidence !== undefined) {
-      if (!hasLeft) this.report(known, [caller.digest]);
+    this.remember(record, caller.digest, until);
+    if (record.evidence !== undefined) {
+      if (!hasLeft) this.report(record, [caller.digest]);
       return;
     }
-    if (!hasLeft) this.probe(known);
+    if (!hasLeft) this.probe(record);
   }
 
   private remember(
-    { requests }: InterruptedAnswers,
+    { requests }: InterruptedResponses,
     digest: string,
     until: number,
   ): void {
@@ -142,11 +144,11 @@
     requests.set(digest, Math.max(until, requests.get(digest) ?? 0));
   }
 
-  private recordFor(replica: Replica): InterruptedAnswers {
-    const { id } = replica;
-    const known = this.interrupted.get(id);
-    if (known !== undefined) return known;
-    const fresh: InterruptedAnswers = {
+  private recordFor(replica: Replica): InterruptedResponses {
+    const id = replica.id;
+    const record = this.interrupted.get(id);
+    if (record !== undefined) return record;
+    const fresh: InterruptedResponses = {
       replica,
       requests: new Map(),
       evidence: undefined,
@@ -162,33 +164,33 @@
   }
 
   /** If the address still accepts connections, the list may confirm the end. */
-  private probe(known: InterruptedAnswers): void {
-    known.mustProbeAgain = known.isProbing;
-    if (known.isProbing) return;
-    known.isProbing = true;
-    void this.options.client.probe(known.replica.address).then((found) => {
-      if (found === "refused") return this.confirm(known, "nobody listens");
+  private probe(record: InterruptedResponses): void {
+    record.mustProbeAgain = record.isProbing;
+    if (record.isProbing) return;
+    record.isProbing = true;
+    void this.options.client.probe(record.replica.address).then((found) => {
+      if (found === "refused") return this.confirm(record, "nobody listens");
       setTimeout(() => {
-        known.isProbing = false;
-        if (known.mustProbeAgain) this.probe(known);
+        record.isProbing = false;
+        if (record.mustProbeAgain) this.probe(record);
       }, PROBE_INTERVAL_MS).unref();
     });
   }
 
-  private confirm(known: InterruptedAnswers, evidence: EndEvidence): void {
-    if (known.evidence !== undefined) return;
-    known.evidence = evidence;
+  private confirm(record: InterruptedResponses, evidence: EndEvidence): void {
+    if (record.evidence !== undefined) return;
+    record.evidence = evidence;
     this.options.metrics.count("replica_ended", { how: evidence });
     const now = this.options.now();
-    const there = [...known.requests].filter(([, until]) => until >= now);
+    const there = [...record.requests].filter(([, until]) => until >= now);
     this.report(
-      known,
+      record,
       there.map(([digest]) => digest),
     );
   }
 
   private report(
-    { replica, evidence }: InterruptedAnswers,
+    { replica, evidence }: InterruptedResponses,
     requests: string[],
   ): void {
     if (evidence === undefined || requests.length === 0) return;
--- a/src/gateway/stageController.ts
+++ b/src/gateway/stageController.ts
@@ -21,14 +21,14 @@
 
 /** Order timeout, ms. An order that timed out may still be executed. */
 const ORDER_TIMEOUT_MS = 1500;
-/** A change that the replica list does not show by then is given up, ms. */
+/** Timeout for a stage change to appear in the replica list, ms. */
 const CHANGE_TIMEOUT_MS = 15_000;
-/** Pause after a refused order, ms. */
-const REFUSED_PAUSE_MS = 1000;
+/** Delay before the next attempt after a refused order, ms. */
+const REFUSED_DELAY_MS = 1000;
 /** Maximum orders of one step, each to a different engine. */
 const MAX_ORDERS_PER_STEP = 4;
 /** Limit on responses to orders and state reports, bytes. */
-const MAX_ANSWER_BYTES = 16 * 1024;
+const MAX_RESPONSE_BYTES = 16 * 1024;
 
 /** Result of an order; `unknown`: it may still be executed. */
 interface OrderOutcome {
@@ -161,7 +161,7 @@
     if (outcome.kind !== "refused") return;
     this.pendingChanges.delete(id);
     scheduler.suspendEngine(id, 0);
-    this.refusedUntil = now() + REFUSED_PAUSE_MS;
+    this.refusedUntil = now() + REFUSED_DELAY_MS;
   }
 
   private async send(
@@ -208,7 +208,7 @@
       return { kind, why: sent.why };
     }
     const status = sent.res.statusCode ?? 0;
-    const whole = await readWholeBody(sent, MAX_ANSWER_BYTES);
+    const whole = await readWholeBody(sent, MAX_RESPONSE_BYTES);
     cancellation.dispose();
     const text = whole.kind === "whole" ? whole.body.toString("utf8") : "";
     const isGood = status >= 200 && status < 300;
--- a/src/placement/messages.ts
+++ b/src/placement/messages.ts
@@ -1,4 +1,4 @@
-/** Converts placement asks and answers to and from gateway messages. */
+/** Converts placement requests and answers to and from gateway messages. */
 import type {
   ConfigAnswer,
   PlaceAsk,
@@ -21,12 +21,12 @@
 const MAX_INT32 = 2 ** 31 - 1;
 
 /** Rounds and clamps to a range; NaN becomes 0 before clamping. */
-const clampRounded = (least: number, value: number, most: number): number =>
-  Math.min(most, Math.max(least, Math.round(value) || 0));
+const clampRounded = (min: number, value: number, max: number): number =>
+  Math.min(max, Math.max(min, Math.round(value) || 0));
 
 /**
  * Clamps to uint32. Callers choose these numbers; one that a message can't hold
- * would end the stream with the asks of all requests, and again at the next
+ * would end the stream with all its placement requests, and again at the next
  * holder.
  */
 const toUint32 = (value: number): number => clampRounded(0, value, MAX_UINT32);
@@ -35,22 +35,25 @@
 const toInt32 = (value: number): number =>
   clampRounded(-MAX_INT32, value, MAX_INT32);
 
-export const toPlaceAsk = (ask: PlacementRequest): PlaceAsk => ({
-  id: ask.id,
-  route: ask.route,
-  domain: ask.domain,
-  model: ask.model,
-  promptTokens: toUint32(ask.promptTokens),
-  outputTokens: toUint32(ask.outputTokens),
-  parts: ask.parts.map(({ id, tokens }) => ({ id, tokens: toUint32(tokens) })),
-  objectiveLeftMs: toInt32(ask.objectiveLeftMs),
-  deadlineLeftMs: toInt32(ask.deadlineLeftMs),
-  priority: toUint32(ask.priority),
-  isReturn: ask.isReturn,
-  avoid: ask.avoid,
-  unavailable: ask.unavailable,
-  answerLeftMs: toUint32(ask.answerLeftMs),
-  mostOutputTokens: toUint32(ask.mostOutputTokens),
+export const toPlaceAsk = (request: PlacementRequest): PlaceAsk => ({
+  id: request.id,
+  route: request.route,
+  domain: request.domain,
+  model: request.model,
+  promptTokens: toUint32(request.promptTokens),
+  outputTokens: toUint32(request.outputTokens),
+  parts: request.parts.map(({ id, tokens }) => ({
+    id,
+    tokens: toUint32(tokens),
+  })),
+  objectiveLeftMs: toInt32(request.objectiveLeftMs),
+  deadlineLeftMs: toInt32(request.deadlineLeftMs),
+  priority: toUint32(request.priority),
+  isReturn: request.isReturn,
+  avoid: request.avoid,
+  unavailable: request.unavailable,
+  answerLeftMs: toUint32(request.answerLeftMs),
+  mostOutputTokens: toUint32(request.mostOutputTokens),
 });
 
 export const fromPlaceAsk = (
@@ -102,7 +105,7 @@
   isFresh: boolean;
   /** Rank of the receiving standby in the takeover order. */
   standbyRank: number;
-  /** Measured read pace; undefined if unchanged. */
+  /** Measured prefill pace; undefined if unchanged. */
   readPace: PrefillCost | undefined;
   /** The lease as the holder last wrote it; zeros if it has none. */
   leaseEpoch: number;
@@ -137,17 +140,20 @@
 export const emptyToUndefined = (text: string): string | undefined =>
   text === "" ? undefined : text;
 
-/** `sinceAskMs` is the time since the ask was sent, by the client's clock. */
+/**
+ * `sinceRequestMs` is the time since the request was sent, by the client's
+ * clock.
+ */
 export const fromPlaceReply = (
   reply: PlaceReply,
-  sinceAskMs: number,
+  sinceRequestMs: number,
 ): PlacementAnswer => {
   if (reply.runner !== "") {
     const { runner, readMs } = reply;
     const reader = emptyToUndefined(reply.reader);
     const donor = emptyToUndefined(reply.donor);
     const { waitedMs } = reply;
-    const ageMs = Math.max(0, sinceAskMs - waitedMs);
+    const ageMs = Math.max(0, sinceRequestMs - waitedMs);
     const times = { readMs, waitedMs, ageMs };
     return { kind: "granted", reader, runner, donor, ...times };
   }
--- a/src/placement/pendingPermitAsks.ts
+++ b/src/placement/pendingPermitRequests.ts
@@ -1,11 +1,11 @@
-/** Permit asks that the lease holder has not answered yet. */
+/** Permit requests that the lease holder has not answered yet. */
 import type { PermitReply } from "../gen/snowgate.js";
 import type { PermitAnswer } from "../rateLimits/index.js";
 import { fromPermitReply } from "./rateMessages.js";
 
 /**
- * Timeout of an ask, ms: plain requests have some hundred ms in all, and there
- * are other replicas.
+ * Timeout of a permit request, ms: plain requests have some hundred ms in all,
+ * and there are other replicas.
  */
 const ANSWER_TIMEOUT_MS = 40;
 const MAX_NUMBER = 2 ** 32 - 1;
@@ -15,17 +15,19 @@
   timer: NodeJS.Timeout;
 }
 
-/** The number of an ask and its answer; undefined if there is none. */
-export interface PendingPermitAsk {
+/**
+ * The number of a permit request and its answer; undefined if there is none.
+ */
+export interface PendingPermitRequest {
   number: number;
   answer: Promise<PermitAnswer | undefined>;
 }
 
-export class PendingPermitAsks {
-  private readonly asks = new Map<number, Pending>();
+export class PendingPermitRequests {
+  private readonly requests = new Map<number, Pending>();
   private last = 0;
 
-  open(): PendingPermitAsk {
+  open(): PendingPermitRequest {
     this.last = (this.last % MAX_NUMBER) + 1;
     const number = this.last;
     const answer = new Promise<PermitAnswer | undefined>((resolve) => {
@@ -33,7 +35,7 @@
         () => this.end(number, undefined),
         ANSWER_TIMEOUT_MS,
       );
-      this.asks.set(number, { resolve, timer });
+      this.requests.set(number, { resolve, timer });
     });
     return { number, answer };
   }
@@ -42,15 +44,15 @@
     this.end(reply.number, fromPermitReply(reply));
   }
 
-  /** Resolves all pending asks without an answer. */
+  /** Resolves all pending requests without an answer. */
   close(): void {
-    for (const number of [...this.asks.keys()]) this.end(number, undefined);
+    for (const number of [...this.requests.keys()]) this.end(number, undefined);
   }
 
   private end(number: number, answer: PermitAnswer | undefined): void {
-    const open = this.asks.get(number);
+    const open = this.requests.get(number);
     if (open === undefined) return;
-    this.asks.delete(number);
+    this.requests.delete(number);
     clearTimeout(open.timer);
     open.resolve(answer);
   }
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -27,21 +27,21 @@
   toUsageWindow,
 } from "./messages.js";
 import type { HolderState } from "./messages.js";
-import { PendingPermitAsks } from "./pendingPermitAsks.js";
+import { PendingPermitRequests } from "./pendingPermitRequests.js";
 import { fromRateNews, toRateNews } from "./rateMessages.js";
 import { KEEPALIVE_OPTIONS, CONCURRENT_STANDBYS } from "./placementServer.js";
 
 /**
- * Timeout of an ask, ms; the request is then placed locally. A briefly busy
+ * Timeout of a placement request, ms; it is then placed locally. A briefly busy
  * holder still places better than an estimate, so this is about as long as a
  * request can wait and still be in time.
  */
 const ANSWER_TIMEOUT_MS = 90;
 /**
- * Events are batched with an ask or other events for this long, ms: read ends,
- * after which the holder assigns the next reads, …
+ * Events are batched with a request or other events for this long, ms:
+ * prefill ends, after which the holder assigns the next prefills, …
  */
-const READ_EVENT_DELAY_MS = 6;
+const PREFILL_EVENT_DELAY_MS = 6;
 /** … and all others, which free capacity. */
 const EVENT_DELAY_MS = 30;
 /** Timeout for the holder to accept the stream, ms. */
@@ -58,15 +58,15 @@
 interface Waiting {
   resolve(answer: PlacementAnswer | undefined): void;
   timer: NodeJS.Timeout;
-  askedAt: number;
-  /** The holder has queued the ask and answers when an engine is free. */
+  requestedAt: number;
+  /** The holder has queued the request and answers when an engine is free. */
   isQueued: boolean;
 }
 
 export interface PlacementClientOptions {
   service: string;
   address: string;
-  /** A standby sends no asks and only waits for the holder to fail. */
+  /** A standby sends no requests and only waits for the holder to fail. */
   isStandby: boolean;
   /** The holder has accepted the stream and reads what is sent from now on. */
   onAccepted(): void;
@@ -90,16 +90,16 @@
   private readonly client: SchedulingClient;
   private readonly stream: ClientDuplexStream<PlaceCall, PlaceReply>;
   private readonly waiting = new Map<string, Waiting>();
-  private readonly permitAsks = new PendingPermitAsks();
+  private readonly permitRequests = new PendingPermitRequests();
   private queuedCount = 0;
   private events: PlaceEvent[] = [];
   private eventTimer: NodeJS.Timeout | undefined;
-  /** Whether the pending events include a read end and are sent sooner. */
+  /** Whether the pending events include a prefill end and are sent sooner. */
   private isUrgent = false;
-  /** When the first ask since the last reply was sent, ms. */
+  /** When the first request since the last reply was sent, ms. */
   private silentSince: number | undefined;
   /** The last configuration request, and when it was sent, ms. */
-  private configAsk = { number: 0, sentAt: 0 };
+  private configRequest = { number: 0, sentAt: 0 };
   /** Number of holder states that this standby has received. */
   private statesReceived = 0;
   private stateTimer: NodeJS.Timeout | undefined;
@@ -127,7 +127,7 @@
     const giveUp = () =>
       this.disconnect("the holder did not accept the stream in time");
     this.connectTimer = setTimeout(giveUp, CONNECT_TIMEOUT_MS);
-    // Registers this entry with the holder before its first ask.
+    // Registers this entry with the holder before its first request.
     this.send({});
   }
 
@@ -135,34 +135,39 @@
     return this.options.address;
   }
 
-  /** Asks that the holder has neither answered nor queued yet. */
+  /** Number of requests that the holder has neither answered nor queued yet. */
   get unacknowledgedCount(): number {
     return this.waiting.size - this.queuedCount;
   }
 
   /** The holder's answer; undefined if there is none. */
-  ask(ask: PlacementRequest): Promise<PlacementAnswer | undefined> {
+  place(request: PlacementRequest): Promise<PlacementAnswer | undefined> {
     if (this.isLost || !this.isReady) return Promise.resolve(undefined);
     return new Promise((resolve) => {
       // After a stall of this process the answer may already be buffered.
       // Timers run before I/O callbacks, and `setImmediate` after them, so the
       // answer is read first.
-      const giveUp = () => setImmediate(() => this.onUnanswered(ask.id));
+      const giveUp = () => setImmediate(() => this.onUnanswered(request.id));
       const timer = setTimeout(giveUp, ANSWER_TIMEOUT_MS);
-      const askedAt = this.options.now();
-      this.waiting.set(ask.id, { resolve, timer, askedAt, isQueued: false });
-      this.silentSince ??= askedAt;
-      this.send({ ask: toPlaceAsk(ask) });
+      const requestedAt = this.options.now();
+      this.waiting.set(request.id, {
+        resolve,
+        timer,
+        requestedAt,
+        isQueued: false,
+      });
+      this.silentSince ??= requestedAt;
+      this.send({ ask: toPlaceAsk(request) });
     });
   }
 
-  /** Cancels an ask; it is not answered any more. */
+  /** Cancels a request; it is not answered any more. */
   cancel(id: string): void {
     if (this.take(id) === undefined) return;
     this.reportEvent({ kind: "ended", id, ok: true, firstEventMs: 0 });
   }
 
-  /** Queues an event to be sent with the next ask, or soon. */
+  /** Queues an event to be sent with the next request, or soon. */
   reportEvent(event: PlacementEvent): void {
     if (this.isLost) return;
     this.events.push(toPlaceEvent(event));
@@ -170,14 +175,18 @@
     if (this.eventTimer !== undefined && (this.isUrgent || !isUrgent)) return;
     clearTimeout(this.eventTimer);
     this.isUrgent = isUrgent;
-    const waitMs = isUrgent ? READ_EVENT_DELAY_MS : EVENT_DELAY_MS;
+    const waitMs = isUrgent ? PREFILL_EVENT_DELAY_MS : EVENT_DELAY_MS;
     this.eventTimer = setTimeout(() => this.send({}), waitMs);
   }
 
   /** Reports a grant that is already in use to the holder. */
-  reportHeldGrant(ask: PlacementRequest, grant: Grant, isRead: boolean): void {
+  reportHeldGrant(
+    request: PlacementRequest,
+    grant: Grant,
+    isRead: boolean,
+  ): void {
     const { reader = "", runner } = grant;
-    this.send({ held: { ask: toPlaceAsk(ask), reader, runner, isRead } });
+    this.send({ held: { ask: toPlaceAsk(request), reader, runner, isRead } });
   }
 
   /**
@@ -186,8 +195,8 @@
    */
   requestConfig(known: number): void {
     if (this.isLost || !this.isReady) return;
-    const number = this.configAsk.number + 1;
-    this.configAsk = { number, sentAt: this.options.leaseNow() };
+    const number = this.configRequest.number + 1;
+    this.configRequest = { number, sentAt: this.options.leaseNow() };
     this.send({ configAsk: { number, known } });
   }
 
@@ -197,7 +206,7 @@
    */
   requestPermit(replica: string): Promise<PermitAnswer | undefined> {
     if (this.isLost || !this.isReady) return Promise.resolve(undefined);
-    const { number, answer } = this.permitAsks.open();
+    const { number, answer } = this.permitRequests.open();
     this.send({ permitAsk: { number, replica } });
     return answer;
   }
@@ -257,12 +266,13 @@
       const told = reply.rates.map(fromRateNews);
       this.options.onRates(told.filter((news) => news !== undefined));
     }
-    if (reply.permit !== undefined) this.permitAsks.resolveReply(reply.permit);
+    if (reply.permit !== undefined)
+      this.permitRequests.resolveReply(reply.permit);
     if (reply.isQueued) return this.onQueued(id);
     const waiting = this.take(id);
     if (waiting !== undefined) {
-      const sinceAskMs = this.options.now() - waiting.askedAt;
-      return waiting.resolve(fromPlaceReply(reply, sinceAskMs));
+      const sinceRequestMs = this.options.now() - waiting.requestedAt;
+      return waiting.resolve(fromPlaceReply(reply, sinceRequestMs));
     }
     // The answer came after the timeout and the request was placed locally, so
     // the grant is returned.
@@ -274,7 +284,7 @@
    * Accepts only the answer to the last request; earlier ones prove no more.
    */
   private onConfig(answer: ConfigAnswer): void {
-    const { number, sentAt } = this.configAsk;
+    const { number, sentAt } = this.configRequest;
     if (answer.number !== number) return;
     try {
       this.options.onConfig(fromConfigAnswer(answer), sentAt);
@@ -297,14 +307,15 @@
     clearTimeout(this.stateTimer);
     if (!this.options.isStandby || standbyRank >= CONCURRENT_STANDBYS) return;
     // After a stall of this process the next state may already be buffered.
-    const onSilence = () => setImmediate(() => this.disconnectIfSilent(heard));
+    const onSilence = () =>
+      setImmediate(() => this.disconnectIfSilent(statesBefore));
     this.statesReceived += 1;
-    const heard = this.statesReceived;
+    const statesBefore = this.statesReceived;
     this.stateTimer = setTimeout(onSilence, STANDBY_TIMEOUT_MS);
   }
 
-  private disconnectIfSilent(heard: number): void {
-    if (this.statesReceived === heard)
+  private disconnectIfSilent(statesBefore: number): void {
+    if (this.statesReceived === statesBefore)
       this.disconnect("no state received from the holder");
   }
 
@@ -318,7 +329,7 @@
     this.queuedCount += 1;
   }
 
-  /** Removes an ask from those that wait for an answer. */
+  /** Removes a request from those that wait for an answer. */
   private take(id: string): Waiting | undefined {
     const waiting = this.waiting.get(id);
     if (waiting === undefined) return undefined;
@@ -348,7 +359,7 @@
       resolve(undefined);
     }
     this.waiting.clear();
-    this.permitAsks.close();
+    this.permitRequests.close();
     this.stream.cancel();
     this.client.close();
     this.options.onDisconnected(why);
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -40,11 +40,12 @@
 
 /**
  * Standbys that try to take over a lost lease at once. As many more follow
- * after each pause, so that a large fleet does not query the store all at once.
+ * after each interval, so that a large fleet does not query the store all at
+ * once.
  */
 export const CONCURRENT_STANDBYS = 3;
 
-/** Retry-after of an ask whose processing threw, ms. */
+/** Retry-after of a request whose processing threw, ms. */
 const ERROR_RETRY_AFTER_MS = 1000;
 const ERROR_REFUSAL: PlacementAnswer = {
   kind: "refused",
@@ -89,12 +90,12 @@
   /** Standbys and the state last sent to each, by service. */
   private readonly standbys = new Map<string, Standbys>();
   /**
-   * Ids of asks that are queued or at an engine, by stream. Nobody else reports
-   * on them: when an entry disconnects, its connections to engines close too,
-   * and its requests must not count as running.
+   * Ids of requests that are queued or at an engine, by stream. Nobody else
+   * reports on them: when an entry disconnects, its connections to engines
+   * close too, and its requests must not count as running.
    */
   private readonly open = new Map<PlaceStream, Set<string>>();
-  /** Read pace last sent to each stream. */
+  /** Prefill pace last sent to each stream. */
   private readonly sentPace = new WeakMap<
     PlaceStream,
     PrefillCost | undefined
@@ -128,8 +129,8 @@
 
   /**
    * Sends the holder's state to the first standbys each time, and to the others
-   * when it has changed. Standbys send no asks, so otherwise they would notice
-   * a lost holder only seconds later, from the closed connection.
+   * when it has changed. Standbys send no requests, so otherwise they would
+   * notice a lost holder only seconds later, from the closed connection.
    */
   notifyStandbys(service: string): void {
     const standbys = this.standbys.get(service) ?? new Map();
@@ -174,7 +175,7 @@
       if (!this.options.isHolder(call.service)) return void stream.end();
       if (service === undefined) {
         service = call.service;
-        // Tells the client that its asks will be read.
+        // Tells the client that its requests will be read.
         stream.sendMetadata(new Metadata());
         this.register(service, stream, call.isStandby);
       }
@@ -202,8 +203,8 @@
   }
 
   /**
-   * Handles errors per call: an error thrown here would end the stream with the
-   * asks of all other requests, here and at the next holder.
+   * Handles errors per call: an error thrown here would end the stream with
+   * all other placement requests, here and at the next holder.
    */
   private take(stream: PlaceStream, call: PlaceCall): void {
     const { service, ask, held } = call;
@@ -212,7 +213,7 @@
     } catch (err) {
       const id = ask?.id ?? held?.ask?.id;
       const fields = { service, id, why: errText(err) };
-      this.options.log.error("placement call threw", fields);
+      this.options.log.error("placement call failed", fields);
       if (ask === undefined) return;
       this.open.get(stream)?.delete(ask.id);
       this.options.placement.cancel(service, ask.id);
@@ -231,9 +232,9 @@
       this.standbys.set(service, standbys);
       return;
     }
-    const known = this.streams.get(service) ?? new Set();
-    known.add(stream);
-    this.streams.set(service, known);
+    const streams = this.streams.get(service) ?? new Set();
+    streams.add(stream);
+    this.streams.set(service, streams);
   }
 
   private onCall(stream: PlaceStream, call: PlaceCall): void {
@@ -242,7 +243,7 @@
     for (const { process, seq, counts } of call.usage) {
       this.options.onUsage(process, { seq, counts });
     }
-    if (configAsk !== undefined) this.tellConfig(service, stream, configAsk);
+    if (configAsk !== undefined) this.sendConfig(service, stream, configAsk);
     for (const told of call.rates) {
       const news = fromRateNews(told);
       if (news !== undefined) this.options.onRate(news);
@@ -262,7 +263,7 @@
     }
     if (held?.ask !== undefined) {
       const { reader, runner, isRead } = held;
-      this.addOpenAsk(stream, held.ask.id);
+      this.addOpenRequest(stream, held.ask.id);
       const grant: Grant = {
         kind: "granted",
         reader: emptyToUndefined(reader),
@@ -280,7 +281,7 @@
         if (later.kind === "refused") this.open.get(stream)?.delete(id);
         this.reply(service, stream, id, later);
       });
-      if (answer.kind !== "refused") this.addOpenAsk(stream, id);
+      if (answer.kind !== "refused") this.addOpenRequest(stream, id);
       this.reply(service, stream, id, answer);
     }
   }
@@ -298,7 +299,7 @@
   /**
    * Sends the configuration; nothing is sent while its freshness is not proven.
    */
-  private tellConfig(
+  private sendConfig(
     service: string,
     stream: PlaceStream,
     { number, known }: ConfigAsk,
@@ -327,28 +328,29 @@
 
   /** Rate limits that the stream has not been sent yet. */
   private rateUpdates(stream: PlaceStream): PlaceReply["rates"] {
-    const known = this.rateFilters.get(stream) ?? new RateNewsFilter();
-    this.rateFilters.set(stream, known);
-    return known.selectUpdates(this.options.rates()).map(toRateNews);
+    const filter = this.rateFilters.get(stream) ?? new RateNewsFilter();
+    this.rateFilters.set(stream, filter);
+    return filter.selectUpdates(this.options.rates()).map(toRateNews);
   }
 
-  private addOpenAsk(stream: PlaceStream, id: string): void {
-    const known = this.open.get(stream) ?? new Set();
-    known.add(id);
-    this.open.set(stream, known);
+  private addOpenRequest(stream: PlaceStream, id: string): void {
+    const ids = this.open.get(stream) ?? new Set();
+    ids.add(id);
+    this.open.set(stream, ids);
   }
 
   /**
-   * The measured read pace, if it has changed since it was sent to the stream.
+   * The measured prefill pace, if it has changed since it was sent to the
+   * stream.
    */
   private paceUpdate(
     service: string,
     stream: PlaceStream,
   ): PrefillCost | undefined {
-    const { learnedCost: known } =
+    const { learnedCost: cost } =
       this.options.placement.scheduler(service).prefillModel;
-    if (known === this.sentPace.get(stream)) return undefined;
-    this.sentPace.set(stream, known);
-    return known;
+    if (cost === this.sentPace.get(stream)) return undefined;
+    this.sentPace.set(stream, cost);
+    return cost;
   }
 }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -6,9 +6,9 @@
 } from "../scheduling/index.js";
 
 export interface Placement {
-  place(ask: PlacementRequest): Promise<PlacementAnswer>;
-  /** Cancels an ask: no answer follows, and a grant of it ends. */
+  place(request: PlacementRequest): Promise<PlacementAnswer>;
+  /** Cancels a request: no answer follows, and a grant of it ends. */
   cancel(service: string, id: string): void;
-  /** Reports an event of a request; `service` is that of its ask. */
+  /** Reports an event of a request; `service` is that of the request. */
   reportEvent(service: string, event: PlacementEvent): void;
 }
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -2,9 +2,9 @@
  * Rate limits that replicas have reported, and the share of them that this
  * process may use. A limit applies to the sum over all senders, including those
  * that have not received it: the allocator (the process that places for all)
- * spends the whole rate and the others ask it for permits. They spend a small
- * share themselves only while it can't be reached. Keyed by life (one run) of a
- * replica; pure; times are ms of one clock.
+ * spends the whole rate and the others request permits from it. They spend a
+ * small share themselves only while it can't be reached. Pure; entries are
+ * keyed by replica incarnation, and times are ms of one clock.
  */
 import { LRUCache } from "lru-cache";
 
@@ -14,11 +14,11 @@
 import { PermitSlots } from "./permitSlots.js";
 import type { EnginePermits, PermitShare, RateNews } from "./types.js";
 
-/** Replica lives whose limits are remembered, the newest first. */
-const MAX_LIVES = 8192;
+/** Replica incarnations whose limits are remembered, the newest first. */
+const MAX_INCARNATIONS = 8192;
 /**
  * Minimum rate per second: a replica whose limit is zero still gets one request
- * in five seconds, since only an answer to real work tells that the limit has
+ * in five seconds, since only a response to real work shows that the limit has
  * been raised.
  */
 const MIN_PER_S = 0.2;
@@ -38,17 +38,17 @@
 /** Time constant of the count of refused permits, ms. */
 const REFUSALS_MS = 1000;
 /**
- * Minimum interval between two refused asks, ms: bounds the ask rate of a large
- * fleet.
+ * Minimum interval between two refused permit requests, ms: bounds their rate
+ * at a large fleet.
  */
 const MIN_REFUSAL_INTERVAL_MS = 2;
 const MS_PER_SECOND = 1000;
 
 interface KnownLimit {
   perS: number;
-  /** When an answer last reported it, here or at another process. */
-  heardAt: number;
-  /** Since when answers have not reported it. */
+  /** When a response last reported it, here or at another process. */
+  reportedAt: number;
+  /** Since when responses have not reported it. */
   endedAt: number | undefined;
   bucket: PermitBucket;
   slots: PermitSlots;
@@ -59,13 +59,13 @@
   refusals: DecayingSum;
 }
 
-/** What one answer reports of its replica's limit. */
+/** What one response reports of its replica's limit. */
 export interface RateReport {
   /** Undefined: no limit reported. */
   perS: number | undefined;
   /**
-   * Whether the answer would report a limit if there were one: true for a
-   * successful answer to real work.
+   * Whether the response would report a limit if there were one: true for a
+   * successful response to real work.
    */
   mayEnd: boolean;
   /** When the answered request was sent. */
@@ -73,7 +73,9 @@
 }
 
 export class RateLimits implements EnginePermits {
-  private readonly known = new LRUCache<string, KnownLimit>({ max: MAX_LIVES });
+  private readonly known = new LRUCache<string, KnownLimit>({
+    max: MAX_INCARNATIONS,
+  });
   /** The share of a replica's rate that this process may use. */
   shareOf: (replica: string) => PermitShare = () => ({
     fraction: 1,
@@ -83,7 +85,7 @@
   constructor(private readonly rng: Rng) {}
 
   /**
-   * Records an answer; returns the update to send to other processes, if
+   * Records a response; returns the update to send to other processes, if
    * anything changed.
    */
   recordAnswer(
@@ -101,7 +103,7 @@
     if (known === undefined || known.endedAt !== undefined) return undefined;
     // Answers can arrive out of order: one to an earlier request does not prove
     // that the limit has ended.
-    if (!report.mayEnd || report.sentAt <= known.heardAt) return undefined;
+    if (!report.mayEnd || report.sentAt <= known.reportedAt) return undefined;
     known.endedAt = now;
     return { replica, perS: known.perS, endedAgoMs: 0 };
   }
@@ -170,7 +172,7 @@
     return false;
   }
 
-  /** Time after which to ask again, ms. */
+  /** Time after which to request a permit again, ms. */
   waitMs(replica: string, now: number): number {
     const known = this.activeLimit(replica, now);
     if (known === undefined) return 0;
@@ -207,14 +209,14 @@
       return void this.update(replica, fresh, now);
     }
     known.perS = perS;
-    known.heardAt = now;
+    known.reportedAt = now;
     known.endedAt = undefined;
   }
 
   private newLimit(perS: number, now: number): KnownLimit {
     return {
       perS,
-      heardAt: now,
+      reportedAt: now,
       endedAt: undefined,
       bucket: new PermitBucket(now),
       slots: new PermitSlots(this.rng(), now),
@@ -236,7 +238,7 @@
 
 /** Requests per second that the replica takes from all processes now. */
 const currentRate = ({ perS, endedAt }: KnownLimit, now: number): number => {
-  const least = Math.max(perS, MIN_PER_S);
-  if (endedAt === undefined) return least;
-  return least * 2 ** ((now - endedAt) / DOUBLING_MS);
+  const limitPerS = Math.max(perS, MIN_PER_S);
+  if (endedAt === undefined) return limitPerS;
+  return limitPerS * 2 ** ((now - endedAt) / DOUBLING_MS);
 };
