--- a/tests/quarantine/quarantine.test.ts
+++ b/tests/quarantine/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** Which requests are barred, and how an innocent one goes on. Pure. */
+/** When a request is quarantined, and how trials clear an innocent one. No I/O. */
 import { expect } from "chai";
 
 import { Quarantine } from "../../src/quarantine/index.js";
@@ -15,11 +15,11 @@
   TRIAL_DELAY_MS,
 } from "../../src/quarantine/quarantine.js";
 
-const DEADLY = "4.deadly";
+const CRASHING_DIGEST = "4.deadly";
 const ENGINE_SENDS = 2;
 
-/** Processes with one clock, and the bars that they would store. */
-const fleet = () => {
+/** Makes quarantines of several processes that share one clock. */
+const newFleet = () => {
   const clock = { now: 0 };
   const add = (name: string): Quarantine =>
     new Quarantine(
@@ -30,148 +30,164 @@
   return { clock, add };
 };
 
-const lives = (count: number, from = 0): string[] =>
+const incarnationIds = (count: number, from = 0): string[] =>
   Array.from({ length: count }, (_item, at) => `life-${from + at}`);
 
-const endAll = (at: Quarantine, names: readonly string[]): void => {
-  for (const life of names) at.recordReplicaEnd([DEADLY], life);
+const recordEnds = (at: Quarantine, names: readonly string[]): void => {
+  for (const incarnation of names)
+    at.recordReplicaEnd([CRASHING_DIGEST], incarnation);
 };
 
-describe("a request under which replicas ended", () => {
-  it("is barred after three lives, not before", () => {
-    const { add } = fleet();
+describe("a request during which replicas crashed", () => {
+  it("is quarantined after three incarnations ended, not before", () => {
+    const { add } = newFleet();
     const entry = add("a");
-    endAll(entry, lives(REPLICA_ENDS_TO_BAR - 1));
-    expect(entry.verdict(DEADLY, 1).kind).to.equal("free");
-    endAll(entry, lives(1, REPLICA_ENDS_TO_BAR - 1));
-    expect(entry.verdict(DEADLY, 1).kind).to.equal("refused");
+    recordEnds(entry, incarnationIds(REPLICA_ENDS_TO_BAR - 1));
+    expect(entry.verdict(CRASHING_DIGEST, 1).kind).to.equal("free");
+    recordEnds(entry, incarnationIds(1, REPLICA_ENDS_TO_BAR - 1));
+    expect(entry.verdict(CRASHING_DIGEST, 1).kind).to.equal("refused");
   });
 
-  it("is not barred by one life that is told many times", () => {
-    const { add } = fleet();
+  it("is not quarantined by one incarnation's end reported many times", () => {
+    const { add } = newFleet();
     const entry = add("a");
     for (let at = 0; at < 10; at += 1)
-      entry.recordReplicaEnd([DEADLY], "life-0");
-    expect(entry.activeRecord(DEADLY)).to.equal(undefined);
+      entry.recordReplicaEnd([CRASHING_DIGEST], "life-0");
+    expect(entry.activeRecord(CRASHING_DIGEST)).to.equal(undefined);
   });
 
-  it("is barred where each of three entries saw one end", () => {
-    const { add } = fleet();
-    const entries = lives(REPLICA_ENDS_TO_BAR).map((life) => {
-      const entry = add(`entry of ${life}`);
-      entry.recordReplicaEnd([DEADLY, `4.beside-${life}`], life);
+  it("is quarantined when three entries each saw one end", () => {
+    const { add } = newFleet();
+    const entries = incarnationIds(REPLICA_ENDS_TO_BAR).map((incarnation) => {
+      const entry = add(`entry of ${incarnation}`);
+      entry.recordReplicaEnd(
+        [CRASHING_DIGEST, `4.beside-${incarnation}`],
+        incarnation,
+      );
       return entry;
     });
     const records = entries.map((entry) => entry.toRecord());
     entries[0]!.applyEndRecords(records);
-    const bars = entries[0]!.allRecords();
-    expect(bars.map(({ digest }) => digest)).to.deep.equal([DEADLY]);
-    expect(bars[0]?.lives).to.have.members(lives(REPLICA_ENDS_TO_BAR));
+    const quarantineRecords = entries[0]!.allRecords();
+    expect(quarantineRecords.map(({ digest }) => digest)).to.deep.equal([
+      CRASHING_DIGEST,
+    ]);
+    expect(quarantineRecords[0]?.lives).to.have.members(
+      incarnationIds(REPLICA_ENDS_TO_BAR),
+    );
   });
 
-  it("counts what an earlier life of the entry had seen", () => {
-    const { add } = fleet();
+  it("keeps its count of ends over a restart of the entry", () => {
+    const { add } = newFleet();
     const before = add("a");
-    endAll(before, lives(2));
+    recordEnds(before, incarnationIds(2));
     const restarted = add("a");
     restarted.restore(before.toRecord());
-    endAll(restarted, lives(1, 2));
-    expect(restarted.activeRecord(DEADLY)).to.not.equal(undefined);
+    recordEnds(restarted, incarnationIds(1, 2));
+    expect(restarted.activeRecord(CRASHING_DIGEST)).to.not.equal(undefined);
   });
 
-  it("is told to others by its bar alone", () => {
-    const { add } = fleet();
+  it("is refused by another entry once that has the quarantine record", () => {
+    const { add } = newFleet();
     const [first, second] = [add("a"), add("b")];
-    endAll(first, lives(REPLICA_ENDS_TO_BAR));
+    recordEnds(first, incarnationIds(REPLICA_ENDS_TO_BAR));
     expect(second.applyRecords(first.allRecords())).to.have.length(1);
-    expect(second.verdict(DEADLY, 1).kind).to.equal("refused");
+    expect(second.verdict(CRASHING_DIGEST, 1).kind).to.equal("refused");
     expect(second.applyRecords(first.allRecords())).to.have.length(0);
   });
 });
 
-describe("a trial of a barred request", () => {
+describe("a trial of a quarantined request", () => {
   const barred = () => {
-    const { clock, add } = fleet();
+    const { clock, add } = newFleet();
     const entry = add("a");
-    endAll(entry, lives(REPLICA_ENDS_TO_BAR));
+    recordEnds(entry, incarnationIds(REPLICA_ENDS_TO_BAR));
     clock.now += TRIAL_DELAY_MS;
-    const verdict = entry.verdict(DEADLY, ENGINE_SENDS);
+    const verdict = entry.verdict(CRASHING_DIGEST, ENGINE_SENDS);
     if (verdict.kind !== "may-try") throw new Error(verdict.kind);
-    return { clock, add, entry, bar: verdict.record };
+    return { clock, add, entry, quarantineRecord: verdict.record };
   };
 
-  it("waits until the ends that barred it are over", () => {
-    const { clock, add } = fleet();
+  it("waits for the delay after the ends that quarantined the request", () => {
+    const { clock, add } = newFleet();
     const entry = add("a");
-    endAll(entry, lives(REPLICA_ENDS_TO_BAR));
+    recordEnds(entry, incarnationIds(REPLICA_ENDS_TO_BAR));
     clock.now += TRIAL_DELAY_MS - 1;
-    expect(entry.verdict(DEADLY, ENGINE_SENDS).kind).to.equal("refused");
+    expect(entry.verdict(CRASHING_DIGEST, ENGINE_SENDS).kind).to.equal(
+      "refused",
+    );
   });
 
-  it("is one at a time", () => {
-    const { entry, bar, add, clock } = barred();
-    const trial = entry.startTrial(bar, ENGINE_SENDS);
+  it("runs one at a time across entries", () => {
+    const { entry, quarantineRecord, add, clock } = barred();
+    const trial = entry.startTrial(quarantineRecord, ENGINE_SENDS);
     const other = add("b");
     for (const each of [entry, other]) {
-      each.applyRecords([bar, trial]);
+      each.applyRecords([quarantineRecord, trial]);
       clock.now += 60 * 60 * 1000;
-      expect(each.verdict(DEADLY, 1).kind).to.equal("refused");
+      expect(each.verdict(CRASHING_DIGEST, 1).kind).to.equal("refused");
     }
   });
 
-  it("lets one go on that survived it, and excuses the ends so far", () => {
-    const { entry, bar, add } = barred();
-    const trial = entry.startTrial(bar, ENGINE_SENDS);
+  it("that leaves the replica running clears the request and discounts earlier ends", () => {
+    const { entry, quarantineRecord, add } = barred();
+    const trial = entry.startTrial(quarantineRecord, ENGINE_SENDS);
     entry.applyRecords([trial]);
     const after = { sends: 2, hasSurvived: true };
     const cleared = entry.finishTrial(trial, ENGINE_SENDS, after);
     entry.applyRecords([cleared]);
     const other = add("b");
-    endAll(other, lives(REPLICA_ENDS_TO_BAR));
+    recordEnds(other, incarnationIds(REPLICA_ENDS_TO_BAR));
     other.applyRecords([cleared]);
     for (const each of [entry, other]) {
-      each.applyEndRecords([{ [DEADLY]: lives(REPLICA_ENDS_TO_BAR) }]);
-      expect(each.verdict(DEADLY, 1).kind).to.equal("free");
-      // New ends count from the start.
-      endAll(each, lives(REPLICA_ENDS_TO_BAR, 10));
-      expect(each.activeRecord(DEADLY)).to.not.equal(undefined);
+      each.applyEndRecords([
+        { [CRASHING_DIGEST]: incarnationIds(REPLICA_ENDS_TO_BAR) },
+      ]);
+      expect(each.verdict(CRASHING_DIGEST, 1).kind).to.equal("free");
+      // Ends after the clearing are counted from zero.
+      recordEnds(each, incarnationIds(REPLICA_ENDS_TO_BAR, 10));
+      expect(each.activeRecord(CRASHING_DIGEST)).to.not.equal(undefined);
     }
   });
 
-  it("is the last one where its replica ended", () => {
-    const { entry, bar, clock } = barred();
-    const trial = entry.startTrial(bar, 1);
+  it("is the last one when its replica ended", () => {
+    const { entry, quarantineRecord, clock } = barred();
+    const trial = entry.startTrial(quarantineRecord, 1);
     entry.applyRecords([trial]);
-    entry.recordReplicaEnd([DEADLY], "life-of-trial");
+    entry.recordReplicaEnd([CRASHING_DIGEST], "life-of-trial");
     const after = { sends: 1, hasSurvived: false };
     entry.applyRecords([entry.finishTrial(trial, 1, after)]);
     clock.now += 60 * 60 * 1000;
-    expect(entry.verdict(DEADLY, 1).kind).to.equal("refused");
+    expect(entry.verdict(CRASHING_DIGEST, 1).kind).to.equal("refused");
   });
 
-  it("may come again where it was sent nowhere", () => {
-    const { entry, bar, clock } = barred();
-    const trial = entry.startTrial(bar, ENGINE_SENDS);
+  it("may be repeated when it was sent to no replica", () => {
+    const { entry, quarantineRecord, clock } = barred();
+    const trial = entry.startTrial(quarantineRecord, ENGINE_SENDS);
     entry.applyRecords([trial]);
     const after = { sends: 0, hasSurvived: false };
     entry.applyRecords([entry.finishTrial(trial, ENGINE_SENDS, after)]);
     clock.now += TRIAL_DELAY_MS;
-    expect(entry.verdict(DEADLY, ENGINE_SENDS).kind).to.equal("may-try");
+    expect(entry.verdict(CRASHING_DIGEST, ENGINE_SENDS).kind).to.equal(
+      "may-try",
+    );
   });
 
-  it("does not end by what ended under runs from before the bar", () => {
+  it("is not ruled out by a late end of a run from before the quarantine", () => {
     const { entry, clock } = barred();
-    entry.recordReplicaEnd([DEADLY], "life-late");
+    entry.recordReplicaEnd([CRASHING_DIGEST], "life-late");
     clock.now += TRIAL_DELAY_MS;
-    expect(entry.verdict(DEADLY, ENGINE_SENDS).kind).to.equal("may-try");
+    expect(entry.verdict(CRASHING_DIGEST, ENGINE_SENDS).kind).to.equal(
+      "may-try",
+    );
   });
 
-  it("never takes more sends than are allowed for good", () => {
+  it("never exceeds the total number of sends allowed to trials", () => {
     const { entry, clock } = barred();
     let sends = 0;
     for (let at = 0; at < 100; at += 1) {
       clock.now += TRIAL_DELAY_MS;
-      const verdict = entry.verdict(DEADLY, ENGINE_SENDS);
+      const verdict = entry.verdict(CRASHING_DIGEST, ENGINE_SENDS);
       if (verdict.kind !== "may-try") break;
       const trial = entry.startTrial(verdict.record, ENGINE_SENDS);
       entry.applyRecords([trial]);
@@ -183,35 +199,38 @@
   });
 });
 
-describe("requests beside the cause", () => {
-  it("are cleared by a run that leaves its replica alive", () => {
-    const { add } = fleet();
+describe("innocent requests that ran beside the cause", () => {
+  it("are cleared by a run that leaves its replica running", () => {
+    const { add } = newFleet();
     const entry = add("a");
     const popular = "4.popular";
-    for (const life of lives(20)) {
-      entry.recordReplicaEnd([popular], life);
+    for (const incarnation of incarnationIds(20)) {
+      entry.recordReplicaEnd([popular], incarnation);
       expect(entry.recordSurvival(popular)).to.equal(true);
     }
     expect(entry.activeRecord(popular)).to.equal(undefined);
     expect(entry.mayBeTracked(4)).to.equal(false);
   });
 
-  it("are not barred, a thousand of them, where one is the cause", () => {
-    const { add } = fleet();
+  it("are not quarantined: of a thousand, only the cause is", () => {
+    const { add } = newFleet();
     const entry = add("a");
-    for (const life of lives(25)) {
-      const beside = lives(40, 1000 + 40 * Number(life.slice(5)));
+    for (const incarnation of incarnationIds(25)) {
+      const bystanders = incarnationIds(
+        40,
+        1000 + 40 * Number(incarnation.slice(5)),
+      );
       entry.recordReplicaEnd(
-        [...beside.map((name) => `9.${name}`), DEADLY],
-        life,
+        [...bystanders.map((name) => `9.${name}`), CRASHING_DIGEST],
+        incarnation,
       );
     }
     const barred = entry.allRecords().map(({ digest }) => digest);
-    expect(barred).to.deep.equal([DEADLY]);
+    expect(barred).to.deep.equal([CRASHING_DIGEST]);
   });
 
-  it("are told apart by the size of their body, without a digest", () => {
-    const { add } = fleet();
+  it("are ruled out by body size, without computing a digest", () => {
+    const { add } = newFleet();
     const entry = add("a");
     expect(entry.mayBeTracked(0)).to.equal(false);
     entry.recordReplicaEnd(["z.x"], "life-0");
@@ -221,107 +240,129 @@
 });
 
 /*
- * Both errors at once: how many of a popular request are refused though it
- * is innocent, where all replicas end at the same moment.
+ * When all replicas end at the same moment, a popular request that ran on them
+ * is quarantined although it is innocent. Bounds how many of its arrivals are
+ * refused after the replicas are back.
  */
-describe("a popular request beside a loss of all replicas", () => {
+describe("a popular request during a loss of all replicas", () => {
   const ENTRIES = 5;
   const REPLICAS = 8;
-  /** Arrivals over all entries: one each so many ms. */
-  const EACH_MS = 3;
-  const BACK_AT_MS = 2000;
+  /** Interval between arrivals, over all entries. */
+  const ARRIVAL_INTERVAL_MS = 3;
+  const REPLICAS_BACK_AT_MS = 2000;
   const RUN_MS = 100;
 
-  it("is refused no longer than one rest and one trial after their return", () => {
-    const { clock, add } = fleet();
+  it("is refused no longer than one trial delay and one trial after they return", () => {
+    const { clock, add } = newFleet();
     const entries = Array.from({ length: ENTRIES }, (_item, at) =>
       add(`entry-${at}`),
     );
-    const tell = (): void => {
-      const bars = entries.flatMap((entry) => entry.allRecords());
-      entries.forEach((entry) => entry.applyRecords(bars));
+    const exchangeRecords = (): void => {
+      const quarantineRecords = entries.flatMap((entry) => entry.allRecords());
+      entries.forEach((entry) => entry.applyRecords(quarantineRecords));
     };
-    entries.forEach((entry) => endAll(entry, lives(REPLICAS)));
-    tell();
+    entries.forEach((entry) => recordEnds(entry, incarnationIds(REPLICAS)));
+    exchangeRecords();
     let refused = 0;
     let trial:
-      { entry: Quarantine; bar: QuarantineRecord; endsAt: number } | undefined;
-    for (; clock.now < 2 * BACK_AT_MS; clock.now += EACH_MS) {
-      const isBack = clock.now >= BACK_AT_MS;
+      | {
+          entry: Quarantine;
+          quarantineRecord: QuarantineRecord;
+          endsAt: number;
+        }
+      | undefined;
+    for (
+      ;
+      clock.now < 2 * REPLICAS_BACK_AT_MS;
+      clock.now += ARRIVAL_INTERVAL_MS
+    ) {
+      const isBack = clock.now >= REPLICAS_BACK_AT_MS;
       if (trial !== undefined && clock.now >= trial.endsAt) {
-        const { entry, bar } = trial;
+        const { entry, quarantineRecord } = trial;
         const outcome = { sends: isBack ? 2 : 0, hasSurvived: isBack };
-        entry.applyRecords([entry.finishTrial(bar, ENGINE_SENDS, outcome)]);
+        entry.applyRecords([
+          entry.finishTrial(quarantineRecord, ENGINE_SENDS, outcome),
+        ]);
         trial = undefined;
-        tell();
+        exchangeRecords();
       }
-      const entry = entries[Math.floor(clock.now / EACH_MS) % ENTRIES]!;
-      const verdict = entry.verdict(DEADLY, ENGINE_SENDS);
+      const entry =
+        entries[Math.floor(clock.now / ARRIVAL_INTERVAL_MS) % ENTRIES]!;
+      const verdict = entry.verdict(CRASHING_DIGEST, ENGINE_SENDS);
       if (verdict.kind === "may-try") {
-        const bar = entry.startTrial(verdict.record, ENGINE_SENDS);
-        entry.applyRecords([bar]);
-        tell();
-        trial = { entry, bar, endsAt: clock.now + (isBack ? RUN_MS : 0) };
+        const quarantineRecord = entry.startTrial(verdict.record, ENGINE_SENDS);
+        entry.applyRecords([quarantineRecord]);
+        exchangeRecords();
+        trial = {
+          entry,
+          quarantineRecord,
+          endsAt: clock.now + (isBack ? RUN_MS : 0),
+        };
       }
       if (verdict.kind === "refused" && isBack) refused += 1;
     }
-    const most = (TRIAL_DELAY_MS + 2 * RUN_MS) / EACH_MS;
-    expect(refused).to.be.within(1, most);
-    const kinds = entries.map((entry) => entry.verdict(DEADLY, 1).kind);
+    const maxRefused = (TRIAL_DELAY_MS + 2 * RUN_MS) / ARRIVAL_INTERVAL_MS;
+    expect(refused).to.be.within(1, maxRefused);
+    const kinds = entries.map(
+      (entry) => entry.verdict(CRASHING_DIGEST, 1).kind,
+    );
     expect(new Set(kinds)).to.deep.equal(new Set(["free"]));
   });
 });
 
-describe("what is remembered", () => {
-  it("stays bounded, and new bodies push out none that came again", () => {
-    const ledger = new SuspectTable(() => 0);
-    ledger.add([DEADLY], "life-0");
-    ledger.add([DEADLY], "life-1");
+describe("the stored suspects and quarantine records", () => {
+  it("stay bounded, and new suspects do not evict one seen twice", () => {
+    const suspects = new SuspectTable(() => 0);
+    suspects.add([CRASHING_DIGEST], "life-0");
+    suspects.add([CRASHING_DIGEST], "life-1");
     for (let at = 0; at < MAX_SUSPECTS * 4; at += 1) {
-      ledger.add([`9.${at}`], `life-${at}`);
+      suspects.add([`9.${at}`], `life-${at}`);
     }
-    expect(ledger.size).to.equal(MAX_SUSPECTS);
-    expect(ledger.lives(DEADLY).size).to.equal(2);
+    expect(suspects.size).to.equal(MAX_SUSPECTS);
+    expect(suspects.lives(CRASHING_DIGEST).size).to.equal(2);
   });
 
-  it("is forgotten some time after the last end", () => {
+  it("drop a suspect once the retention time has passed since its last end", () => {
     const clock = { now: 0 };
-    const ledger = new SuspectTable(() => clock.now);
-    ledger.add([DEADLY], "life-0");
+    const suspects = new SuspectTable(() => clock.now);
+    suspects.add([CRASHING_DIGEST], "life-0");
     clock.now = SUSPECT_RETENTION_MS - 1;
-    ledger.add([DEADLY, "9.other"], "life-1");
+    suspects.add([CRASHING_DIGEST, "9.other"], "life-1");
     clock.now = 2 * SUSPECT_RETENTION_MS - 2;
-    ledger.add(["9.new"], "life-2");
-    expect(ledger.lives(DEADLY).size).to.equal(2);
+    suspects.add(["9.new"], "life-2");
+    expect(suspects.lives(CRASHING_DIGEST).size).to.equal(2);
     clock.now = 2 * SUSPECT_RETENTION_MS;
-    ledger.add(["9.new"], "life-3");
-    expect(ledger.lives(DEADLY).size).to.equal(0);
-    expect(ledger.lives("9.new").size).to.equal(2);
+    suspects.add(["9.new"], "life-3");
+    expect(suspects.lives(CRASHING_DIGEST).size).to.equal(0);
+    expect(suspects.lives("9.new").size).to.equal(2);
   });
 
-  it("keeps the same bars at each process, in whatever order they came", () => {
-    const { add } = fleet();
-    const bars = Array.from({ length: MAX_RECORDS + 9 }, (_item, at) => ({
-      digest: `9.${at}`,
-      state: "barred" as const,
-      step: 1,
-      lives: [],
-      sends: 0,
-      by: "b",
-      at: at % 7,
-    }));
+  it("are the same records at each process, in whatever order they arrived", () => {
+    const { add } = newFleet();
+    const quarantineRecords = Array.from(
+      { length: MAX_RECORDS + 9 },
+      (_item, at) => ({
+        digest: `9.${at}`,
+        state: "barred" as const,
+        step: 1,
+        lives: [],
+        sends: 0,
+        by: "b",
+        at: at % 7,
+      }),
+    );
     const [first, second] = [add("a"), add("b")];
-    first.applyRecords(bars);
-    second.applyRecords([...bars].reverse());
+    first.applyRecords(quarantineRecords);
+    second.applyRecords([...quarantineRecords].reverse());
     const kept = (entry: Quarantine) =>
       entry.allRecords().map(({ digest }) => digest);
     expect(kept(first)).to.have.members(kept(second));
   });
 
-  it("keeps a bounded number of bars, cleared ones least", () => {
-    const { add } = fleet();
+  it("stay bounded, and evict cleared records before barred ones", () => {
+    const { add } = newFleet();
     const entry = add("a");
-    const bar = (digest: string, state: "barred" | "cleared") => ({
+    const quarantineRecord = (digest: string, state: "barred" | "cleared") => ({
       digest,
       state,
       step: 1,
@@ -330,11 +371,11 @@
       by: "b",
       at: 0,
     });
-    entry.applyRecords([bar(DEADLY, "barred")]);
+    entry.applyRecords([quarantineRecord(CRASHING_DIGEST, "barred")]);
     for (let at = 0; at < MAX_RECORDS * 3; at += 1) {
-      entry.applyRecords([bar(`9.${at}`, "cleared")]);
+      entry.applyRecords([quarantineRecord(`9.${at}`, "cleared")]);
     }
     expect(entry.allRecords()).to.have.length(MAX_RECORDS);
-    expect(entry.activeRecord(DEADLY)).to.not.equal(undefined);
+    expect(entry.activeRecord(CRASHING_DIGEST)).to.not.equal(undefined);
   });
 });
--- a/tests/quarantine/requestDigest.test.ts
+++ b/tests/quarantine/requestDigest.test.ts
@@ -1,4 +1,4 @@
-/** Who is the same request, and who is not. */
+/** Which requests have the same digest, and which do not. */
 import { expect } from "chai";
 
 import { requestDigest } from "../../src/quarantine/index.js";
@@ -23,13 +23,13 @@
     body: { body: Buffer.from("texts") },
   };
   for (const [title, change] of Object.entries(others)) {
-    it(`differs: ${title}`, () => {
+    it(`differs for another value: ${title}`, () => {
       const other = requestDigest({ ...REQUEST, ...change });
       expect(other).to.not.equal(requestDigest(REQUEST));
     });
   }
 
-  it("does not let one field pass for the next", () => {
+  it("does not confuse the end of one field with the start of the next", () => {
     const left = requestDigest({ ...REQUEST, target: "/a", workspace: "bc" });
     const right = requestDigest({ ...REQUEST, target: "/ab", workspace: "c" });
     expect(left).to.not.equal(right);
--- a/tests/soak/checks.test.ts
+++ b/tests/soak/checks.test.ts
@@ -1,4 +1,4 @@
-/** Each check of the soak finds its fault in records, and nothing else. */
+/** Each check of the soak finds its violation in the records, and no other. */
 import { expect } from "chai";
 
 import {
@@ -16,7 +16,7 @@
 
 const EVENTS = Array.from({ length: STREAM_EVENTS }, (_item, at) => at + 1);
 
-const call = (more: Partial<CallRecord> = {}): CallRecord => ({
+const call = (overrides: Partial<CallRecord> = {}): CallRecord => ({
   id: "a",
   kind: "unsafe",
   entry: "entry-0",
@@ -30,13 +30,13 @@
   signedBy: "plain-0",
   bodyBy: "plain-0",
   events: [],
-  ...more,
+  ...overrides,
 });
 
-const stream = (more: Partial<CallRecord> = {}): CallRecord =>
-  call({ kind: "draft", bodyBy: undefined, events: EVENTS, ...more });
+const stream = (overrides: Partial<CallRecord> = {}): CallRecord =>
+  call({ kind: "draft", bodyBy: undefined, events: EVENTS, ...overrides });
 
-const probe = (more: Partial<ProbeRecord> = {}): ProbeRecord => ({
+const probe = (overrides: Partial<ProbeRecord> = {}): ProbeRecord => ({
   id: "p",
   entry: "entry-0",
   life: 1,
@@ -46,17 +46,17 @@
   endedAt: 10_010,
   status: 200,
   signedBy: "plain-0",
-  ...more,
+  ...overrides,
 });
 
-const fault = (more: Partial<FaultRecord> = {}): FaultRecord => ({
+const fault = (overrides: Partial<FaultRecord> = {}): FaultRecord => ({
   name: "process stopped",
   variant: "",
   target: "entry-0",
   from: 9900,
   until: 10_500,
   isPlanned: true,
-  ...more,
+  ...overrides,
 });
 
 const run = (requestId = "a", replica = "plain-0", at = 10_020) => ({
@@ -72,7 +72,7 @@
   at: 0,
 });
 
-const records = (more: Partial<SoakRecords> = {}): SoakRecords => ({
+const records = (overrides: Partial<SoakRecords> = {}): SoakRecords => ({
   calls: [],
   probes: [],
   runs: [],
@@ -82,22 +82,24 @@
   faults: [],
   news: [],
   stalls: [],
-  ...more,
+  ...overrides,
 });
 
-const promises = (more: Partial<SoakRecords>): string[] =>
-  findViolations(records(more)).map((item) => item.promise);
+const violatedPromises = (overrides: Partial<SoakRecords>): string[] =>
+  findViolations(records(overrides)).map((item) => item.promise);
 
 describe("soak checks", () => {
-  it("find nothing in a good run", () => {
+  it("find no violation in a correct run", () => {
     const calls = [call(), stream({ id: "b", answerId: "b" })];
     const runs = [run("a"), run("b", "engine-0")];
     const orders = [order("s-0", 1), order("s-0", 1), order("s-1", 2)];
-    expect(promises({ calls, runs, orders, probes: [probe()] })).to.eql([]);
+    expect(violatedPromises({ calls, runs, orders, probes: [probe()] })).to.eql(
+      [],
+    );
   });
 
   describe("whole answers", () => {
-    const wrong: Record<string, CallRecord> = {
+    const wrongAnswers: Record<string, CallRecord> = {
       "another request's": call({ answerId: "x" }),
       unsigned: call({ signedBy: undefined, bodyBy: undefined }),
       "half a body": call({ bodyBy: undefined }),
@@ -105,54 +107,64 @@
       "a doubled event": stream({ events: [1, 1, 2], isWhole: false }),
       "an early end": stream({ events: [1, 2] }),
     };
-    for (const [name, answer] of Object.entries(wrong)) {
+    for (const [name, answer] of Object.entries(wrongAnswers)) {
       it(`find ${name}`, () => {
-        expect(promises({ calls: [answer] })).to.include("whole answers");
+        expect(violatedPromises({ calls: [answer] })).to.include(
+          "whole answers",
+        );
       });
     }
 
-    it("let a cut stream pass that looks cut", () => {
+    it("allow a stream that was cut and that the caller saw as cut", () => {
       const cut = stream({ events: [1, 2], isWhole: false });
-      expect(promises({ calls: [cut] })).to.eql([]);
+      expect(violatedPromises({ calls: [cut] })).to.eql([]);
     });
   });
 
-  it("find a second run of what may run once", () => {
+  it("find a second run of a request that may run only once", () => {
     const runs = [run(), run()];
-    expect(promises({ calls: [call()], runs })).to.include("at most once");
+    expect(violatedPromises({ calls: [call()], runs })).to.include(
+      "at most once",
+    );
     const calls = [call({ kind: "safe" })];
-    expect(promises({ calls, runs })).to.eql([]);
+    expect(violatedPromises({ calls, runs })).to.eql([]);
   });
 
-  it("find a run of what was told not to have run", () => {
+  it("find a run of a request reported as not run", () => {
     const calls = [call({ status: 503, bodyBy: undefined })];
-    expect(promises({ calls, runs: [run()] })).to.eql(["not run is true"]);
-    expect(promises({ calls })).to.eql([]);
+    expect(violatedPromises({ calls, runs: [run()] })).to.eql([
+      "not run is true",
+    ]);
+    expect(violatedPromises({ calls })).to.eql([]);
   });
 
-  it("find a run that nobody asked for", () => {
-    expect(promises({ runs: [run("z")] })).to.eql(["only what was asked runs"]);
+  it("find a run that no caller requested", () => {
+    expect(violatedPromises({ runs: [run("z")] })).to.eql([
+      "only what was asked runs",
+    ]);
   });
 
   describe("configuration", () => {
     const late = probe({ sentAt: 10_100, endedAt: 10_110, status: 404 });
 
-    it("find a process that goes back", () => {
+    it("find a process that goes back to an older version", () => {
       const promise = "configuration never goes back";
-      expect(promises({ probes: [probe(), late] })).to.include(promise);
+      expect(violatedPromises({ probes: [probe(), late] })).to.include(promise);
     });
 
-    it("let a new life begin with less", () => {
+    it("allow a new incarnation to start with an older version", () => {
       const probes = [probe(), { ...late, life: 2 }];
-      expect(promises({ probes })).to.eql([]);
+      expect(violatedPromises({ probes })).to.eql([]);
     });
 
-    it("find news that is not in force in calm times", () => {
+    it("find a change not in force although no fault was active", () => {
       const news = [{ kind: "configuration" as const, subject: "2", at: 5000 }];
       const probes = [late];
-      expect(promises({ news, probes })).to.eql(["configuration in force"]);
+      expect(violatedPromises({ news, probes })).to.eql([
+        "configuration in force",
+      ]);
       const faults = [fault({ isPlanned: false, from: 4000, until: 6000 })];
-      expect(promises({ news, probes, faults })).to.eql([]);
+      expect(violatedPromises({ news, probes, faults })).to.eql([]);
     });
   });
 
@@ -160,22 +172,22 @@
     const news = [{ kind: "leaving" as const, subject: "plain-0", at: 5000 }];
     const calls = [call()];
     const late = { calls, news, runs: [run()] };
-    expect(promises(late)).to.eql(["no work for leaving replicas"]);
+    expect(violatedPromises(late)).to.eql(["no work for leaving replicas"]);
     const early = { calls, news, runs: [run("a", "plain-0", 6000)] };
-    expect(promises(early)).to.eql([]);
+    expect(violatedPromises(early)).to.eql([]);
   });
 
-  it("find too many further sends", () => {
+  it("find too many retries", () => {
     const calls = [call({ kind: "safe" })];
     const runs = Array.from({ length: 80 }, () => run());
-    expect(promises({ calls, runs })).to.eql(["bounded retries"]);
+    expect(violatedPromises({ calls, runs })).to.eql(["bounded retries"]);
   });
 
   describe("planned work", () => {
     const cut = call({ status: 0, isWhole: false });
 
-    it("find what it cut", () => {
-      const found = promises({
+    it("find requests that it cut", () => {
+      const found = violatedPromises({
         calls: [cut],
         runs: [run()],
         faults: [fault()],
@@ -183,48 +195,52 @@
       expect(found).to.eql(["planned work cuts nothing"]);
     });
 
-    it("let pass what ended with its time", () => {
+    it("allow requests that ended at their deadline", () => {
       const at = (endedAt: number) => ({
         calls: [call({ status: 0, isWhole: false, endedAt })],
         runs: [run()],
         faults: [fault({ until: 20_000 })],
       });
-      expect(promises(at(10_000 + DEADLINE_MS))).to.eql([]);
-      const early = promises(at(10_000 + DEADLINE_MS - 1));
+      expect(violatedPromises(at(10_000 + DEADLINE_MS))).to.eql([]);
+      const early = violatedPromises(at(10_000 + DEADLINE_MS - 1));
       expect(early).to.eql(["planned work cuts nothing"]);
     });
 
-    it("let pass what crossed the close, or was cut by other faults", () => {
+    it("allow requests that reached no replica, or were cut by other faults", () => {
       const faults = [fault()];
-      expect(promises({ calls: [cut], faults })).to.eql([]);
+      expect(violatedPromises({ calls: [cut], faults })).to.eql([]);
       const other = fault({ isPlanned: false, from: 9000, until: 9500 });
       const both = { calls: [cut], runs: [run()], faults: [fault(), other] };
-      expect(promises(both)).to.eql([]);
+      expect(violatedPromises(both)).to.eql([]);
     });
   });
 
-  it("find two holders", () => {
+  it("find two lease holders at once", () => {
     const shared = [order("s-0", 1), order("s-1", 1)];
-    expect(promises({ orders: shared })).to.eql(["one holder"]);
+    expect(violatedPromises({ orders: shared })).to.eql(["one holder"]);
     const lower = [order("s-0", 2), order("s-1", 1)];
-    expect(promises({ orders: lower })).to.eql(["one holder"]);
+    expect(violatedPromises({ orders: lower })).to.eql(["one holder"]);
   });
 
   describe("signals of replicas", () => {
-    const SAYS = { isLimited: false, isLeaving: false, backOff: undefined };
+    const NO_SIGNALS = {
+      isLimited: false,
+      isLeaving: false,
+      backOff: undefined,
+    };
 
-    /** So many requests through one entry, one each 10 ms. */
-    const through = (
+    /** `count` requests through one entry, one every 10 ms. */
+    const requestsThrough = (
       entry: string,
       count: number,
       from: number,
-      says: Partial<ToldSignals> = {},
+      signals: Partial<ToldSignals> = {},
     ) => {
       const ids = Array.from(
         { length: count },
         (_item, at) => `${entry}-${at}-${from}`,
       );
-      const told = { ...SAYS, ...says };
+      const told = { ...NO_SIGNALS, ...signals };
       return {
         calls: ids.map((id) =>
           call({
@@ -243,56 +259,58 @@
       };
     };
 
-    const all = (
-      parts: ReturnType<typeof through>[],
-      more: Partial<SoakRecords> = {},
+    const merge = (
+      parts: ReturnType<typeof requestsThrough>[],
+      overrides: Partial<SoakRecords> = {},
     ) => ({
       calls: parts.flatMap(({ calls }) => calls),
       arrivals: parts.flatMap(({ arrivals }) => arrivals),
-      ...more,
+      ...overrides,
     });
 
     describe("limits", () => {
       const limits = [{ replica: "plain-0", at: 10_000, perS: 2 }];
-      const says = { isLimited: true };
+      const signals = { isLimited: true };
       const told = [
-        through("entry-0", 1, 10_000, says),
-        through("entry-1", 1, 10_000, says),
+        requestsThrough("entry-0", 1, 10_000, signals),
+        requestsThrough("entry-1", 1, 10_000, signals),
       ];
       const later = (each: number) => [
-        through("entry-0", each, 14_000, says),
-        through("entry-1", each, 14_000, says),
+        requestsThrough("entry-0", each, 14_000, signals),
+        requestsThrough("entry-1", each, 14_000, signals),
       ];
-      const broken = ["no more than a replica takes"];
+      const expectedViolations = ["no more than a replica takes"];
 
-      it("find more than it takes of all entries together", () => {
-        const few = all([...told, ...later(8)], { limits });
-        expect(promises(few)).to.eql([]);
-        const many = all([...told, ...later(9)], { limits });
-        expect(promises(many)).to.eql(broken);
+      it("find more requests than a replica's limit, over all entries", () => {
+        const few = merge([...told, ...later(8)], { limits });
+        expect(violatedPromises(few)).to.eql([]);
+        const many = merge([...told, ...later(9)], { limits });
+        expect(violatedPromises(many)).to.eql(expectedViolations);
       });
 
-      it("let pass what entries sent that were not told, or were struck", () => {
+      it("allow requests of entries that did not know the limit or had a fault", () => {
         const [first] = told;
         const untold = [...(first ? [first] : []), ...later(15)];
-        expect(promises(all(untold, { limits }))).to.eql([]);
-        const mute = through("entry-1", 30, 14_000);
-        const half = all([...told.slice(0, 1), mute], { limits });
-        expect(promises(half)).to.eql([]);
+        expect(violatedPromises(merge(untold, { limits }))).to.eql([]);
+        const withoutSignals = requestsThrough("entry-1", 30, 14_000);
+        const partlyTold = merge([...told.slice(0, 1), withoutSignals], {
+          limits,
+        });
+        expect(violatedPromises(partlyTold)).to.eql([]);
         const faults = ["entry-0", "entry-1"].map((target) =>
           fault({ name: "process paused", target, until: 13_000 }),
         );
-        const struck = all([...told, ...later(30)], { limits, faults });
-        expect(promises(struck)).to.eql([]);
+        const withFaults = merge([...told, ...later(30)], { limits, faults });
+        expect(violatedPromises(withFaults)).to.eql([]);
       });
     });
 
     describe("limits, by when callers received them", () => {
       const limits = [{ replica: "plain-0", at: 10_000, perS: 2 }];
-      const says = { isLimited: true };
-      const told = through("entry-0", 1, 10_000, says);
-      const later = through("entry-0", 30, 14_000, says);
-      const broken = ["no more than a replica takes"];
+      const signals = { isLimited: true };
+      const told = requestsThrough("entry-0", 1, 10_000, signals);
+      const later = requestsThrough("entry-0", 30, 14_000, signals);
+      const expectedViolations = ["no more than a replica takes"];
 
       it("do not bind entries whose callers received no signed answer", () => {
         const calls = told.calls.map((item) => ({
@@ -300,41 +318,45 @@
           status: 502,
           signedBy: undefined,
         }));
-        expect(promises(all([{ ...told, calls }], { limits }))).to.eql([]);
-        const lost = all([{ ...told, calls }, later], { limits });
+        expect(
+          violatedPromises(merge([{ ...told, calls }], { limits })),
+        ).to.eql([]);
+        const lost = merge([{ ...told, calls }, later], { limits });
         // The first signed answer was received at 14,040.
-        expect(promises(lost)).to.eql([]);
-        expect(promises(all([told, later], { limits }))).to.eql(broken);
+        expect(violatedPromises(lost)).to.eql([]);
+        expect(violatedPromises(merge([told, later], { limits }))).to.eql(
+          expectedViolations,
+        );
       });
 
       it("allow for requests that may have arrived during a stall", () => {
         const violations = (from: number) =>
-          promises(
-            all([told, later], { limits, stalls: [{ from, until: 14_000 }] }),
+          violatedPromises(
+            merge([told, later], { limits, stalls: [{ from, until: 14_000 }] }),
           );
         expect(violations(10_300)).to.eql([]);
-        expect(violations(13_100)).to.eql(broken);
+        expect(violations(13_100)).to.eql(expectedViolations);
       });
     });
 
-    it("find sends in a back-off, of the entry that was asked", () => {
-      const asked = through("entry-0", 1, 10_000, { backOff: "3" });
-      const broken = ["back-offs are kept"];
+    it("find sends during a back-off by the entry that was asked for it", () => {
+      const asked = requestsThrough("entry-0", 1, 10_000, { backOff: "3" });
+      const expectedViolations = ["back-offs are kept"];
       const sends = (entry: string, count: number, from: number) =>
-        promises(all([asked, through(entry, count, from)]));
-      expect(sends("entry-0", 3, 11_000)).to.eql(broken);
+        violatedPromises(merge([asked, requestsThrough(entry, count, from)]));
+      expect(sends("entry-0", 3, 11_000)).to.eql(expectedViolations);
       expect(sends("entry-0", 2, 11_000)).to.eql([]);
       expect(sends("entry-1", 9, 11_000)).to.eql([]);
       expect(sends("entry-0", 9, 13_000)).to.eql([]);
       expect(sends("entry-0", 9, 10_400)).to.eql([]);
     });
 
-    it("find work for a replica that had told the entry that it leaves", () => {
-      const told = through("entry-0", 1, 10_000, { isLeaving: true });
-      const broken = ["no work for who says that it leaves"];
+    it("find work for a replica after it told the entry that it is leaving", () => {
+      const told = requestsThrough("entry-0", 1, 10_000, { isLeaving: true });
+      const expectedViolations = ["no work for who says that it leaves"];
       const sends = (entry: string, from: number) =>
-        promises(all([told, through(entry, 1, from)]));
-      expect(sends("entry-0", 12_500)).to.eql(broken);
+        violatedPromises(merge([told, requestsThrough(entry, 1, from)]));
+      expect(sends("entry-0", 12_500)).to.eql(expectedViolations);
       expect(sends("entry-0", 11_500)).to.eql([]);
       expect(sends("entry-1", 12_500)).to.eql([]);
     });
--- a/tests/soak/seeds.test.ts
+++ b/tests/soak/seeds.test.ts
@@ -1,13 +1,13 @@
-/** A short run of the soak, and seeds that failed once. */
+/** Short soak runs, among them seeds that once found a violation. */
 import { expect } from "chai";
 
 import { profileOf } from "../../soak/profile.js";
 import { DEFAULT_SIZES, runSoak } from "../../soak/runSoak.js";
 
-/** Time of faults, s: short, since CI runs it each time. */
+/** Seconds during which faults occur: few, since CI runs these on every change. */
 const SECONDS = 5;
 
-/** Seeds, each with why it is here. */
+/** Seeds, each with the reason for running it. */
 const SEEDS: readonly { seed: number; why: string }[] = [
   { seed: 1, why: "faults of all kinds" },
   { seed: 3, why: "planned work only" },
--- a/tests/workspaces/keys.test.ts
+++ b/tests/workspaces/keys.test.ts
@@ -1,4 +1,4 @@
-/** Who may be served by which key, and for how long a process may believe it. */
+/** Which keys are accepted, and for how long after the configuration was last proven current. */
 import { expect } from "chai";
 
 import type { FeedAnswer } from "../../src/store/index.js";
@@ -14,20 +14,20 @@
 import type { KeyCheckResult } from "../../src/workspaces/index.js";
 
 const BOUNDS = { revokeMs: 5000, applyMs: 3000 };
-const LARGE = {
+const LARGE_WORKSPACE = {
   name: "large",
   keyDigests: [keyDigest("k-1"), keyDigest("k-2")],
   priority: 1,
 };
-const SMALL = {
+const SMALL_WORKSPACE = {
   name: "small",
   keyDigests: [keyDigest("k-3")],
   priority: undefined,
 };
-const KEYRING = new Keyring([LARGE, SMALL]);
+const KEYRING = new Keyring([LARGE_WORKSPACE, SMALL_WORKSPACE]);
 
-/** What a verdict says, in a word or a status. */
-const said = (verdict: KeyCheckResult): string | number => {
+/** The name or kind of an allowed claim, or the status of a refusal. */
+const outcomeOf = (verdict: KeyCheckResult): string | number => {
   if (verdict.kind === "refused") return verdict.failure.status;
   const { claim } = verdict;
   return claim.kind === "workspace" ? claim.workspace.name : claim.kind;
@@ -36,20 +36,20 @@
 describe("keys of workspaces", () => {
   describe("a request", () => {
     const cases = [
-      { key: "k-1", ageMs: 0, says: "large" },
-      { key: "k-2", ageMs: 3999, says: "large" },
-      { key: "k-3", ageMs: 4000, says: "small" },
-      { key: "k-3", ageMs: 4001, says: 503 },
-      { key: "k-3", ageMs: Infinity, says: 503 },
-      { key: "k-9", ageMs: 0, says: 401 },
-      { key: "k-9", ageMs: 3000, says: 401 },
-      { key: "k-9", ageMs: 3001, says: 503 },
-      { key: "k-9", ageMs: 9000, says: 503 },
-      { key: undefined, ageMs: 0, says: 401 },
-      { key: undefined, ageMs: 3001, says: 503 },
+      { key: "k-1", ageMs: 0, expected: "large" },
+      { key: "k-2", ageMs: 3999, expected: "large" },
+      { key: "k-3", ageMs: 4000, expected: "small" },
+      { key: "k-3", ageMs: 4001, expected: 503 },
+      { key: "k-3", ageMs: Infinity, expected: 503 },
+      { key: "k-9", ageMs: 0, expected: 401 },
+      { key: "k-9", ageMs: 3000, expected: 401 },
+      { key: "k-9", ageMs: 3001, expected: 503 },
+      { key: "k-9", ageMs: 9000, expected: 503 },
+      { key: undefined, ageMs: 0, expected: 401 },
+      { key: undefined, ageMs: 3001, expected: 503 },
     ];
-    for (const { key, ageMs, says } of cases) {
-      it(`with ${key ?? "no key"}, proof of ${ageMs} ms: ${says}`, () => {
+    for (const { key, ageMs, expected } of cases) {
+      it(`with ${key ?? "no key"} and a proof age of ${ageMs} ms: ${expected}`, () => {
         const digest = key === undefined ? undefined : keyDigest(key);
         const verdict = checkKey({
           keyring: KEYRING,
@@ -58,14 +58,14 @@
           proofAgeMs: ageMs,
           bounds: BOUNDS,
         });
-        expect(said(verdict)).to.equal(says);
+        expect(outcomeOf(verdict)).to.equal(expected);
       });
     }
 
-    it("that is refused has not run; where no proof was, it may return", () => {
-      const ask = { keyring: KEYRING, isPublic: false, bounds: BOUNDS };
-      const stale = checkKey({ ...ask, digest: undefined, proofAgeMs: 9000 });
-      const unknown = checkKey({ ...ask, digest: undefined, proofAgeMs: 0 });
+    it("that is refused is reported as not run, and as retryable only when the proof is too old", () => {
+      const check = { keyring: KEYRING, isPublic: false, bounds: BOUNDS };
+      const stale = checkKey({ ...check, digest: undefined, proofAgeMs: 9000 });
+      const unknown = checkKey({ ...check, digest: undefined, proofAgeMs: 0 });
       if (stale.kind !== "refused" || unknown.kind !== "refused") {
         throw new Error("both are refused");
       }
@@ -76,17 +76,19 @@
     });
 
     it("on a public route needs no key, however old the proof is", () => {
-      const ask = { keyring: KEYRING, isPublic: true, bounds: BOUNDS };
+      const check = { keyring: KEYRING, isPublic: true, bounds: BOUNDS };
       const digest = keyDigest("k-1");
-      expect(said(checkKey({ ...ask, digest, proofAgeMs: 0 }))).to.equal(
+      expect(outcomeOf(checkKey({ ...check, digest, proofAgeMs: 0 }))).to.equal(
         "public",
       );
       expect(
-        said(checkKey({ ...ask, digest: undefined, proofAgeMs: Infinity })),
+        outcomeOf(
+          checkKey({ ...check, digest: undefined, proofAgeMs: Infinity }),
+        ),
       ).to.equal("public");
     });
 
-    it("passes where the configuration has no workspaces", () => {
+    it("is allowed when the configuration has no workspaces", () => {
       const verdict = checkKey({
         keyring: undefined,
         isPublic: false,
@@ -94,27 +96,27 @@
         proofAgeMs: Infinity,
         bounds: BOUNDS,
       });
-      expect(said(verdict)).to.equal("open");
+      expect(outcomeOf(verdict)).to.equal("open");
     });
 
-    it("of a deployment without a bound is served by any proof", () => {
+    it("is served at any proof age when the deployment sets no revocation bound", () => {
       const bounds = { revokeMs: Infinity, applyMs: 3000 };
-      const ask = { keyring: KEYRING, isPublic: false, bounds };
+      const check = { keyring: KEYRING, isPublic: false, bounds };
       const digest = keyDigest("k-1");
-      const verdict = checkKey({ ...ask, digest, proofAgeMs: 60_000 });
-      expect(said(verdict)).to.equal("large");
+      const verdict = checkKey({ ...check, digest, proofAgeMs: 60_000 });
+      expect(outcomeOf(verdict)).to.equal("large");
     });
   });
 
-  describe("what an answer of the store proves", () => {
+  describe("the instant up to which an answer of the store proves the configuration", () => {
     const cases: { name: string; answer: FeedAnswer; asOf: number }[] = [
       {
-        name: "a list: the instant at which it was asked for",
+        name: "a list: when it was requested",
         answer: { sentAt: 100, answeredAt: 900, waitMs: 0, hasChanges: true },
         asOf: 100,
       },
       {
-        name: "changes: the instant at which they were asked for",
+        name: "changes: when they were requested",
         answer: {
           sentAt: 100,
           answeredAt: 2000,
@@ -124,7 +126,7 @@
         asOf: 100,
       },
       {
-        name: "a wait that ran out: its end",
+        name: "a wait that timed out: the end of the wait",
         answer: {
           sentAt: 100,
           answeredAt: 2610,
@@ -134,7 +136,7 @@
         asOf: 2600,
       },
       {
-        name: "a wait that ended early without a change: its begin",
+        name: "a wait that ended early without a change: when it was requested",
         answer: {
           sentAt: 100,
           answeredAt: 2000,
@@ -144,7 +146,7 @@
         asOf: 100,
       },
       {
-        name: "an answer that lay unread while the process stood still: no more",
+        name: "an answer left unread while the process was stalled: the end of the wait, not the reading",
         answer: {
           sentAt: 100,
           answeredAt: 9000,
@@ -158,7 +160,7 @@
       it(name, () => expect(provenAt(answer)).to.equal(asOf));
     }
 
-    it("never makes the knowledge older than it was", () => {
+    it("never moves back when an older proof arrives", () => {
       const freshness = new ConfigFreshness();
       expect(freshness.ageMs(1000)).to.equal(Infinity);
       freshness.prove(800);
@@ -167,9 +169,9 @@
     });
   });
 
-  it("no key is served after its bound, whatever the watch fails to hear", () => {
-    // The key goes at 1,000; the watch is deaf for the longest time and says
-    // at its end that nothing has changed.
+  it("no key is served after the revocation bound, even at the watch's maximum lag", () => {
+    // The key is revoked at 1,000 ms. The watch misses it for its maximum lag
+    // and then answers that nothing has changed.
     const freshness = new ConfigFreshness();
     const sentAt = 1000 + MAX_WATCH_LAG_MS - 2500;
     const answeredAt = 1000 + MAX_WATCH_LAG_MS;
--- a/tests/workspaces/usage.test.ts
+++ b/tests/workspaces/usage.test.ts
@@ -1,4 +1,4 @@
-/** The fleet's usage report: counts of all, one report a window. */
+/** The fleet's usage report: one report per window, with the counts of all processes. */
 import { expect } from "chai";
 
 import type {
@@ -15,11 +15,11 @@
 import type { DutyOutcome, UsageCall } from "../../src/workspaces/index.js";
 
 const WINDOWS = { windowMs: 5000, dueMs: 10_000 };
-const silent = (): void => undefined;
-const LOG: Log = { info: silent, warn: silent, error: silent, debug: silent };
+const noop = (): void => undefined;
+const LOG: Log = { info: noop, warn: noop, error: noop, debug: noop };
 
-/** One stored object, and what the next write of it comes to. */
-class OneObject implements ObjectFeed {
+/** A store of one object; `next` sets the result of its next write. */
+class SingleObjectStore implements ObjectFeed {
   item: FeedItem | undefined;
   next: "written" | "lost" | "refused" = "written";
   isDown = false;
@@ -55,9 +55,9 @@
   }
 }
 
-/** The platform, and the time of day, as all processes see them. */
-class World {
-  readonly store = new OneObject();
+/** The store, platform and wall clock that all simulated processes share. */
+class SharedPlatform {
+  readonly store = new SingleObjectStore();
   readonly calls: UsageCall[] = [];
   answer: DutyOutcome = { kind: "taken" };
   now = 1_000_000;
@@ -83,7 +83,7 @@
     return { reporter, ledger };
   }
 
-  /** Steps each 300 ms for so long. */
+  /** Steps the reporter every 300 ms for `ms`. */
   async run(reporter: UsageReporter, ms: number): Promise<void> {
     const end = this.now + ms;
     while (this.now < end) {
@@ -92,131 +92,133 @@
     }
   }
 
-  /** Windows of the calls, in order. */
-  get reported(): number[] {
+  /** Window numbers of the calls to the platform, in order. */
+  get reportedWindows(): number[] {
     return this.calls.map(({ windowSeq }) => windowSeq);
   }
 }
 
 describe("usage report", () => {
-  let world: World;
+  let platform: SharedPlatform;
 
   beforeEach(() => {
-    world = new World();
+    platform = new SharedPlatform();
   });
 
-  const first = 200;
-
-  it("comes once a window, in order, in time, for all processes", async () => {
-    const { reporter, ledger } = world.reporter("a", () => 3);
-    ledger.record("p-1", { seq: first, counts: { large: 4, small: 1 } });
-    ledger.record("p-2", { seq: first, counts: { large: 2 } });
-    ledger.record("p-2", { seq: first, counts: { large: 5 } });
-    await world.run(reporter, 30_000);
-    expect(world.reported).to.deep.equal([200, 201, 202, 203, 204]);
-    expect(world.calls[0]).to.deep.equal({
-      windowSeq: first,
+  const firstWindow = 200;
+
+  it("is sent once per window, in order and on time, with the counts of all processes", async () => {
+    const { reporter, ledger } = platform.reporter("a", () => 3);
+    ledger.record("p-1", { seq: firstWindow, counts: { large: 4, small: 1 } });
+    ledger.record("p-2", { seq: firstWindow, counts: { large: 2 } });
+    ledger.record("p-2", { seq: firstWindow, counts: { large: 5 } });
+    await platform.run(reporter, 30_000);
+    expect(platform.reportedWindows).to.deep.equal([200, 201, 202, 203, 204]);
+    expect(platform.calls[0]).to.deep.equal({
+      windowSeq: firstWindow,
       counts: { large: 9, small: 1 },
       holder: "a",
       fence: 3,
     });
   });
 
-  it("is not sent anew where the store has forgotten the last ones", async () => {
-    const { reporter, ledger } = world.reporter("a", () => 3);
-    ledger.record("p-1", { seq: first, counts: { large: 4 } });
-    const before = world.store.item;
-    await world.run(reporter, 20_000);
-    const sent = world.reported;
-    world.store.item = before;
-    world.store.next = "refused";
-    await world.run(reporter, 300);
-    world.store.next = "written";
-    await world.run(reporter, 20_000);
-    const all = world.reported;
+  it("is not sent twice when the store has lost the latest writes", async () => {
+    const { reporter, ledger } = platform.reporter("a", () => 3);
+    ledger.record("p-1", { seq: firstWindow, counts: { large: 4 } });
+    const before = platform.store.item;
+    await platform.run(reporter, 20_000);
+    const sent = platform.reportedWindows;
+    platform.store.item = before;
+    platform.store.next = "refused";
+    await platform.run(reporter, 300);
+    platform.store.next = "written";
+    await platform.run(reporter, 20_000);
+    const all = platform.reportedWindows;
     expect(all.slice(0, sent.length)).to.deep.equal(sent);
     expect(new Set(all).size).to.equal(all.length);
   });
 
-  it("is sent again as it was until it is taken", async () => {
-    const { reporter, ledger } = world.reporter("a", () => 3);
-    ledger.record("p-1", { seq: first, counts: { large: 4 } });
-    world.answer = { kind: "failed", why: "status 429" };
-    await world.run(reporter, 9500);
-    ledger.record("p-1", { seq: first, counts: { large: 5 } });
-    world.answer = { kind: "taken" };
-    await world.run(reporter, 1000);
-    expect(world.calls.length).to.be.greaterThan(1);
-    for (const { windowSeq, counts } of world.calls) {
+  it("is retried unchanged until the platform accepts it", async () => {
+    const { reporter, ledger } = platform.reporter("a", () => 3);
+    ledger.record("p-1", { seq: firstWindow, counts: { large: 4 } });
+    platform.answer = { kind: "failed", why: "status 429" };
+    await platform.run(reporter, 9500);
+    ledger.record("p-1", { seq: firstWindow, counts: { large: 5 } });
+    platform.answer = { kind: "taken" };
+    await platform.run(reporter, 1000);
+    expect(platform.calls.length).to.be.greaterThan(1);
+    for (const { windowSeq, counts } of platform.calls) {
       expect({ windowSeq, counts }).to.deep.equal({
-        windowSeq: first,
+        windowSeq: firstWindow,
         counts: { large: 4 },
       });
     }
   });
 
-  it("a new holder repeats the last one as it was, and goes on", async () => {
+  it("of the last holder is repeated unchanged by a new holder, which then continues", async () => {
     let isHolder = true;
-    const before = world.reporter("a", () => (isHolder ? 3 : undefined));
-    before.ledger.record("p-1", { seq: first, counts: { large: 4 } });
-    await world.run(before.reporter, 9000);
+    const before = platform.reporter("a", () => (isHolder ? 3 : undefined));
+    before.ledger.record("p-1", { seq: firstWindow, counts: { large: 4 } });
+    await platform.run(before.reporter, 9000);
     isHolder = false;
-    const after = world.reporter("b", () => 4);
-    after.ledger.record("p-1", { seq: first, counts: { large: 3 } });
+    const after = platform.reporter("b", () => 4);
+    after.ledger.record("p-1", { seq: firstWindow, counts: { large: 3 } });
     after.ledger.record("p-1", { seq: 201, counts: { large: 7 } });
-    await world.run(after.reporter, 5000);
+    await platform.run(after.reporter, 5000);
     await before.reporter.step();
-    const told = world.calls.map(({ windowSeq, counts, fence }) => {
+    const sentReports = platform.calls.map(({ windowSeq, counts, fence }) => {
       return { windowSeq, counts, fence };
     });
-    expect(told).to.deep.equal([
+    expect(sentReports).to.deep.equal([
       { windowSeq: 200, counts: { large: 4 }, fence: 3 },
       { windowSeq: 200, counts: { large: 4 }, fence: 4 },
       { windowSeq: 201, counts: { large: 7 }, fence: 4 },
     ]);
   });
 
-  it("that was written without an answer is sent as it was written", async () => {
-    const { reporter, ledger } = world.reporter("a", () => 3);
-    ledger.record("p-1", { seq: first, counts: { large: 4 } });
-    world.store.next = "lost";
-    await world.run(reporter, 8300);
-    ledger.record("p-1", { seq: first, counts: { large: 6 } });
-    world.store.next = "written";
-    await world.run(reporter, 1500);
-    expect(world.calls[0]?.counts).to.deep.equal({ large: 4 });
-    expect(new Set(world.reported)).to.deep.equal(new Set([first]));
+  it("whose write got no answer is sent as it was written", async () => {
+    const { reporter, ledger } = platform.reporter("a", () => 3);
+    ledger.record("p-1", { seq: firstWindow, counts: { large: 4 } });
+    platform.store.next = "lost";
+    await platform.run(reporter, 8300);
+    ledger.record("p-1", { seq: firstWindow, counts: { large: 6 } });
+    platform.store.next = "written";
+    await platform.run(reporter, 1500);
+    expect(platform.calls[0]?.counts).to.deep.equal({ large: 4 });
+    expect(new Set(platform.reportedWindows)).to.deep.equal(
+      new Set([firstWindow]),
+    );
   });
 
-  it("is not sent where it can't be written first", async () => {
-    const { reporter } = world.reporter("a", () => 3);
-    world.store.isDown = true;
-    await world.run(reporter, 9000);
-    expect(world.calls).to.deep.equal([]);
-    world.store.isDown = false;
-    await world.run(reporter, 1500);
-    expect(world.reported[0]).to.equal(first);
+  it("is not sent before it has been written to the store", async () => {
+    const { reporter } = platform.reporter("a", () => 3);
+    platform.store.isDown = true;
+    await platform.run(reporter, 9000);
+    expect(platform.calls).to.deep.equal([]);
+    platform.store.isDown = false;
+    await platform.run(reporter, 1500);
+    expect(platform.reportedWindows[0]).to.equal(firstWindow);
   });
 
-  it("that is too late is left out, and the next ones come", async () => {
-    const { reporter } = world.reporter("a", () => 3);
-    world.store.isDown = true;
-    await world.run(reporter, 16_000);
-    world.store.isDown = false;
-    await world.run(reporter, 8000);
-    expect(world.reported).to.deep.equal([201, 202, 203]);
+  it("that is overdue is skipped, and the next ones are sent", async () => {
+    const { reporter } = platform.reporter("a", () => 3);
+    platform.store.isDown = true;
+    await platform.run(reporter, 16_000);
+    platform.store.isDown = false;
+    await platform.run(reporter, 8000);
+    expect(platform.reportedWindows).to.deep.equal([201, 202, 203]);
   });
 
-  it("nothing is sent by a process that must not act", async () => {
-    const { reporter } = world.reporter("a", () => undefined);
-    await world.run(reporter, 20_000);
-    expect(world.calls).to.deep.equal([]);
-    expect(world.store.item).to.equal(undefined);
+  it("is neither written nor sent by a process without a fence", async () => {
+    const { reporter } = platform.reporter("a", () => undefined);
+    await platform.run(reporter, 20_000);
+    expect(platform.calls).to.deep.equal([]);
+    expect(platform.store.item).to.equal(undefined);
   });
 });
 
 describe("usage counts", () => {
-  it("belong to the window in which a request began", () => {
+  it("belong to the window in which a request started", () => {
     const now = 1_001_000;
     const counts = new UsageCounts(WINDOWS, () => now);
     counts.record("large", 0);
@@ -228,7 +230,7 @@
     ]);
   });
 
-  it("are told whole, and only where they have changed", () => {
+  it("are passed on as full counts of a window, and only for windows that changed", () => {
     let now = 1_001_000;
     const counts = new UsageCounts(WINDOWS, () => now);
     counts.record("large");
