--- a/tests/support/memoryStore.ts
+++ b/tests/support/memoryStore.ts
@@ -1,4 +1,4 @@
-/** A fake of the object API in memory, for tests of decisions. */
+/** An in-memory fake of the object API, for tests without processes. */
 import { ABSENT } from "../../src/store/index.js";
 import type {
   ObjectStore,
@@ -48,7 +48,7 @@
     this.events.push({ kind, name, version });
     const waiters = this.waiters;
     this.waiters = [];
-    for (const wake of waiters) wake();
+    for (const resolveWaiter of waiters) resolveWaiter();
     return { kind: "written", version };
   }
 
@@ -57,11 +57,11 @@
     revision: number,
     waitMs: number,
   ): Promise<WatchReply> {
-    const found = () =>
+    const newEvents = () =>
       this.events.filter(
         (event) => event.version > revision && kinds.includes(event.kind),
       );
-    if (found().length === 0 && waitMs > 0) {
+    if (newEvents().length === 0 && waitMs > 0) {
       await new Promise<void>((resolve) => {
         const timer = setTimeout(resolve, waitMs);
         this.waiters.push(() => {
@@ -70,6 +70,6 @@
         });
       });
     }
-    return { revision: this.revision, events: found() };
+    return { revision: this.revision, events: newEvents() };
   }
 }
--- a/tests/support/permitFleet.ts
+++ b/tests/support/permitFleet.ts
@@ -1,7 +1,8 @@
 /**
- * Entries that send to one limited replica, in virtual time: each asks the
- * process that spends the rate, or uses its own small share while that one
- * can't be reached. Decisions are the real ones; a hop takes no time.
+ * Simulates, in virtual time, entries that send to one rate-limited replica.
+ * Each entry asks the lease holder for permits, or uses its own small share
+ * while the holder can't be reached. Permits are decided by the production
+ * code; messages between processes take no time.
  */
 import type {
   JudgedArrival,
@@ -15,23 +16,23 @@
 const REPLICA = "r";
 const STEP_MS = 5;
 const MS_PER_SECOND = 1000;
-/** Entries without a holder share half of the rate; as the product has it. */
-const UNLED_PART = 0.5;
+/** Fraction of the rate that entries without a holder share, as in production. */
+const FRACTION_WITHOUT_HOLDER = 0.5;
 
 export interface PermitFleetOptions {
   seed: number;
   entries: number;
-  /** Requests a second that would go to the replica from all entries. */
+  /** Requests per second that all entries together have for the replica. */
   demandPerS: number;
-  /** `uneven`: a tenth of the entries has nine tenths of the load. */
+  /** `uneven`: a tenth of the entries carries nine tenths of the load. */
   load: "even" | "uneven";
-  /** What the replica says from when on; its first answer tells all. */
+  /** Limits that the replica names, each from `at` on; all entries learn each at once. */
   named: readonly NamedLimit[];
-  /** Whether entries reach a holder at that time; `next`: another one. */
+  /** Which holder entries can reach at that time; `next` is a second process. */
   holderAt?: (now: number) => "first" | "next" | "none";
-  /** Whether that entry is cut off from whoever holds. */
+  /** Whether that entry can't reach any holder. */
   isCutOff?: (entry: number, now: number) => boolean;
-  /** No entry has a request before. */
+  /** Time before which no entry has a request, ms. */
   idleUntil?: number;
 }
 
@@ -41,54 +42,58 @@
   heldBackUntil: number;
 }
 
-/** Sends of all entries in that time, ms. */
-export const playPermits = (
+/** Simulates `ms` milliseconds and returns what all entries sent. */
+export const simulatePermits = (
   options: PermitFleetOptions,
   ms: number,
 ): JudgedArrival[] => {
   const rng = seededRng(options.seed);
   const entries = newEntries(options, rng);
   const holders = {
-    first: spender(rng, { fraction: 1, isAllocator: true }),
-    next: spender(rng, { fraction: 1, isAllocator: true }),
+    first: newRateLimits(rng, { fraction: 1, isAllocator: true }),
+    next: newRateLimits(rng, { fraction: 1, isAllocator: true }),
   };
   const all = [...entries.map(({ rates }) => rates), ...Object.values(holders)];
   const arrivals: JudgedArrival[] = [];
   const { named, holderAt = () => "first", isCutOff = () => false } = options;
-  let told = 0;
+  let namedCount = 0;
   let lastHolder: RateLimits | undefined;
   for (let now = 0; now < ms; now += STEP_MS) {
     for (
       ;
-      told < named.length && (named[told]?.at ?? Infinity) <= now;
-      told += 1
+      namedCount < named.length && (named[namedCount]?.at ?? Infinity) <= now;
+      namedCount += 1
     )
-      tellAll(all, named[told]?.perS, now);
-    const which = holderAt(now);
-    const holder = which === "none" ? undefined : holders[which];
+      recordAtAll(all, named[namedCount]?.perS, now);
+    const holderName = holderAt(now);
+    const holder = holderName === "none" ? undefined : holders[holderName];
     if (holder !== lastHolder)
-      holder?.recordAnswer(REPLICA, word(current(named, now), now), now);
+      holder?.recordAnswer(
+        REPLICA,
+        answerNaming(currentLimit(named, now), now),
+        now,
+      );
     lastHolder = holder;
     if (now < (options.idleUntil ?? 0)) continue;
     for (const [at, entry] of entries.entries()) {
       if (rng() >= entry.perMs * STEP_MS || now < entry.heldBackUntil) continue;
       const answer =
         isCutOff(at, now) || holder === undefined
-          ? permit(entry.rates, now)
-          : permit(holder, now);
+          ? acquirePermit(entry.rates, now)
+          : acquirePermit(holder, now);
       if (answer.kind === "acquired")
         arrivals.push({ entry: String(at), at: now });
-      else entry.heldBackUntil = now + heldMs(answer.waitMs, rng);
+      else entry.heldBackUntil = now + retryDelayMs(answer.waitMs, rng);
     }
   }
   return arrivals;
 };
 
-/** As entries ask again for plain requests. */
-const heldMs = (waitMs: number, rng: Rng): number =>
+/** Time until an entry asks again, as for plain requests in production. */
+const retryDelayMs = (waitMs: number, rng: Rng): number =>
   Math.min(1000, Math.max(20, waitMs + rng() * Math.min(waitMs, 250)));
 
-const spender = (rng: Rng, share: PermitShare): RateLimits => {
+const newRateLimits = (rng: Rng, share: PermitShare): RateLimits => {
   const rates = new RateLimits(rng);
   rates.shareOf = () => share;
   return rates;
@@ -98,40 +103,44 @@
   { entries, demandPerS, load }: PermitFleetOptions,
   rng: Rng,
 ): Entry[] => {
-  const busy = Math.max(1, Math.round(entries / 10));
+  const busyEntries = Math.max(1, Math.round(entries / 10));
   return Array.from({ length: entries }, (_, at) => {
-    const share = { fraction: UNLED_PART / entries, isAllocator: false };
-    const part =
+    const share = {
+      fraction: FRACTION_WITHOUT_HOLDER / entries,
+      isAllocator: false,
+    };
+    const loadFraction =
       load === "even"
         ? 1 / entries
-        : at < busy
-          ? 0.9 / busy
-          : 0.1 / (entries - busy);
-    const perMs = (demandPerS * part) / MS_PER_SECOND;
-    return { rates: spender(rng, share), perMs, heldBackUntil: 0 };
+        : at < busyEntries
+          ? 0.9 / busyEntries
+          : 0.1 / (entries - busyEntries);
+    const perMs = (demandPerS * loadFraction) / MS_PER_SECOND;
+    return { rates: newRateLimits(rng, share), perMs, heldBackUntil: 0 };
   });
 };
 
-const word = (perS: number | undefined, now: number) => ({
+const answerNaming = (perS: number | undefined, now: number) => ({
   perS,
   mayEnd: true,
   sentAt: now,
 });
 
-const current = (
+const currentLimit = (
   named: readonly NamedLimit[],
   now: number,
 ): number | undefined => named.filter(({ at }) => at <= now).at(-1)?.perS;
 
-const tellAll = (
+const recordAtAll = (
   all: readonly RateLimits[],
   perS: number | undefined,
   now: number,
 ): void => {
-  for (const rates of all) rates.recordAnswer(REPLICA, word(perS, now), now);
+  for (const rates of all)
+    rates.recordAnswer(REPLICA, answerNaming(perS, now), now);
 };
 
-const permit = (rates: RateLimits, now: number): PermitAnswer =>
+const acquirePermit = (rates: RateLimits, now: number): PermitAnswer =>
   rates.acquire(REPLICA, now)
     ? { kind: "acquired" }
     : { kind: "held-back", waitMs: rates.waitMs(REPLICA, now) };
--- a/tests/support/processes.ts
+++ b/tests/support/processes.ts
@@ -1,4 +1,4 @@
-/** Real processes for tests and benches: start, first line, signals. */
+/** Starts, signals and stops the processes that tests and benches use. */
 import { spawn } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
 import { createInterface } from "node:readline";
@@ -15,7 +15,7 @@
 export interface Program {
   name: string;
   child: ChildProcess;
-  /** Addresses from its first line(s). */
+  /** Listening addresses that it printed in its first lines. */
   at: Record<string, string>;
   /** What it wrote to standard output and error. */
   output: () => string;
@@ -24,14 +24,14 @@
   signal: (name: NodeJS.Signals) => void;
 }
 
-const running = new Set<Program>();
+const runningPrograms = new Set<Program>();
 const MAX_OUTPUT = 200_000;
 
-/** Log lines have a message; lines of addresses have none. */
+/** Log lines have a message; lines that announce addresses have none. */
 const isLogLine = (line: string): boolean =>
   (JSON.parse(line) as { message?: string }).message !== undefined;
 
-/** Starts a compiled script and waits for `lines` lines of addresses. */
+/** Starts a compiled script and waits until it has printed `lines` lines of addresses. */
 export const startProgram = (
   name: string,
   script: string,
@@ -47,8 +47,8 @@
       output = (output + text.toString()).slice(-MAX_OUTPUT);
     });
     const at: Record<string, string> = {};
-    const ended = new Promise<number | null>((done) =>
-      child.on("close", (code) => done(code)),
+    const ended = new Promise<number | null>((resolveEnded) =>
+      child.on("close", (code) => resolveEnded(code)),
     );
     const program: Program = {
       name,
@@ -58,24 +58,24 @@
       ended,
       signal: (signal) => void child.kill(signal),
     };
-    running.add(program);
+    runningPrograms.add(program);
     void ended.then((code) => {
-      running.delete(program);
+      runningPrograms.delete(program);
       reject(new Error(`${name} ended with ${code}: ${output}`));
     });
-    let left = lines;
+    let remainingLines = lines;
     createInterface({ input: child.stdout! }).on("line", (line) => {
       output = (output + line + "\n").slice(-MAX_OUTPUT);
-      if (left === 0 || isLogLine(line)) return;
+      if (remainingLines === 0 || isLogLine(line)) return;
       Object.assign(at, JSON.parse(line));
-      left -= 1;
-      if (left === 0) resolve(program);
+      remainingLines -= 1;
+      if (remainingLines === 0) resolve(program);
     });
   });
 
-/** Ends every process that was started here, by its own id. */
+/** Kills each process that this module started by its own id, also suspended ones. */
 export const stopAll = async (): Promise<void> => {
-  const all = [...running];
+  const all = [...runningPrograms];
   for (const { child } of all) {
     child.kill("SIGCONT");
     child.kill("SIGKILL");
@@ -83,7 +83,7 @@
   await Promise.all(all.map((program) => program.ended));
 };
 
-/** Starts a stand-in. */
+/** Starts a stand-in for an upstream or platform service. */
 export const startStandin = (
   script: string,
   options: object = {},
--- a/tests/support/specs.ts
+++ b/tests/support/specs.ts
@@ -1,4 +1,4 @@
-/** Declared services that tests and benches share. */
+/** Service and upstream specifications shared by tests and benches. */
 
 export const MODEL_SERVICE = {
   name: "parts-model",
@@ -28,19 +28,19 @@
   defaultClass: "check",
 };
 
-export const engineSpec = (id: string, more: object = {}) => ({
+export const engineSpec = (id: string, overrides: object = {}) => ({
   id,
   service: "parts-model",
   kind: "engine" as const,
   site: "bilbao",
   options: { stepMs: 2, sequenceMs: 0.1, prefillTokensPerSecond: 100_000 },
-  ...more,
+  ...overrides,
 });
 
-export const plainSpec = (id: string, more: object = {}) => ({
+export const plainSpec = (id: string, overrides: object = {}) => ({
   id,
   service: "stock",
   kind: "plain" as const,
   site: "bilbao",
-  ...more,
+  ...overrides,
 });
--- a/tests/support/until.ts
+++ b/tests/support/until.ts
@@ -1,20 +1,22 @@
-/** Waits for a condition by asking again; fails loudly when it never holds. */
-const STEP_MS = 20;
-const LIMIT_MS = 30_000;
+/** Polls a condition until it holds, and throws after 30 s with the last error. */
+const POLL_INTERVAL_MS = 20;
+const TIMEOUT_MS = 30_000;
 
 export const until = async (
   condition: () => Promise<boolean> | boolean,
-  what = "the condition",
+  description = "the condition",
 ): Promise<void> => {
-  const end = Date.now() + LIMIT_MS;
-  let last: unknown;
-  while (Date.now() < end) {
+  const deadline = Date.now() + TIMEOUT_MS;
+  let lastError: unknown;
+  while (Date.now() < deadline) {
     try {
       if (await condition()) return;
     } catch (err) {
-      last = err;
+      lastError = err;
     }
-    await new Promise((resolve) => setTimeout(resolve, STEP_MS));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
-  throw new Error(`${what} never held; last error: ${String(last)}`);
+  throw new Error(
+    `${description} never held; last error: ${String(lastError)}`,
+  );
 };
