--- a/tests/store/position.test.ts
+++ b/tests/store/position.test.ts
@@ -1,4 +1,4 @@
-/** Positions in the history of a store that may be restored from a copy. */
+/** Positions in the history of a store that may be restored from a backup. */
 import { expect } from "chai";
 
 import {
@@ -10,11 +10,11 @@
 import { StatsdMetrics } from "../../src/telemetry/index.js";
 
 describe("a position in the store's history", () => {
-  it("is the revision where no era is named", () => {
+  it("is the revision itself when no era is named", () => {
     expect(encodePosition({ era: 0, revision: 77 })).to.equal(77);
   });
 
-  it("is compared by era first, and read back as it was", () => {
+  it("sorts by era first, and decodes to what was encoded", () => {
     const before = { era: 1, revision: 900_000_000_000 };
     const after = { era: 2, revision: 1 };
     expect(encodePosition(after)).to.be.greaterThan(encodePosition(before));
@@ -23,14 +23,14 @@
     }
   });
 
-  it("stays a number that can be held", () => {
+  it("stays a safe integer, however large its parts are", () => {
     const last = encodePosition({ era: 1e9, revision: 1e300 });
     expect(Number.isSafeInteger(last)).to.equal(true);
   });
 });
 
 describe("the era of the store", () => {
-  it("is the highest that an answer has named", () => {
+  it("is the highest that a response has named", () => {
     const era = new StoreEra();
     expect(era.observe("3")).to.deep.equal({ kind: "first", era: 3 });
     expect(era.observe("3").kind).to.equal("same");
@@ -40,7 +40,7 @@
   });
 
   for (const text of ["", "x", "-1", "1.5", "1e3", "9".repeat(30), "1, 2"]) {
-    it(`stays the last good one at "${text.slice(0, 8)}"`, () => {
+    it(`stays the last valid one when a response names "${text.slice(0, 8)}"`, () => {
       const era = new StoreEra();
       era.observe("3");
       expect(era.observe(text)).to.deep.equal({ kind: "unreadable", text });
@@ -49,14 +49,19 @@
     });
   }
 
-  it("is logged once a change, and once while it can't be read", () => {
+  it("is logged once per change, and once while it is unreadable", () => {
     const lines: string[] = [];
-    const line = (message: string) => void lines.push(message);
-    const log = { info: line, warn: line, error: line, debug: line };
+    const recordLine = (message: string) => void lines.push(message);
+    const log = {
+      info: recordLine,
+      warn: recordLine,
+      error: recordLine,
+      debug: recordLine,
+    };
     const onEra = newEraLogger(log, new StatsdMetrics(undefined));
     const era = new StoreEra();
-    const said = ["1", "1", "2", "2", "1", "x", "x", undefined];
-    for (const text of said) onEra(era.observe(text));
+    const observedEras = ["1", "1", "2", "2", "1", "x", "x", undefined];
+    for (const text of observedEras) onEra(era.observe(text));
     expect(lines).to.deep.equal([
       "store era",
       "store restored from a copy",
