--- a/tests/gateway/availability.test.ts
+++ b/tests/gateway/availability.test.ts
@@ -1,4 +1,4 @@
-/** What is made of signals of replicas. Times are ms. */
+/** Effect of signals in replicas' responses on their availability. Times are ms. */
 import { expect } from "chai";
 
 import { ReplicaSet } from "../../src/gateway/replicaSet.js";
@@ -10,7 +10,7 @@
 } from "../../src/gateway/availability.js";
 
 const NO_SIGNAL = { isLeaving: false, backOffMs: undefined };
-const LEAVES = { isLeaving: true, backOffMs: undefined };
+const LEAVING = { isLeaving: true, backOffMs: undefined };
 const backOff = (backOffMs: number) => ({ isLeaving: false, backOffMs });
 
 const replica = (name: string, more: Partial<Replica> = {}): Replica => ({
@@ -26,178 +26,188 @@
   ...more,
 });
 
-describe("a replica's signal", () => {
-  describe("that it leaves", () => {
-    it("counts on, also where an answer lacks it, for an hour", () => {
-      const signals = new Availability();
-      expect(signals.record("a", LEAVES, true, 5)).to.equal("leaving");
-      expect(signals.record("a", NO_SIGNAL, true, 6)).to.equal(undefined);
-      expect(signals.record("a", LEAVES, true, 7)).to.equal(undefined);
+describe("availability signals of a replica", () => {
+  describe("leaving signal", () => {
+    it("stays in effect for an hour, even if later responses lack it", () => {
+      const availability = new Availability();
+      expect(availability.record("a", LEAVING, true, 5)).to.equal("leaving");
+      expect(availability.record("a", NO_SIGNAL, true, 6)).to.equal(undefined);
+      expect(availability.record("a", LEAVING, true, 7)).to.equal(undefined);
       const last = MAX_SIGNAL_MS + 6;
-      expect(signals.refusal("a", last)).to.deep.equal({ kind: "leaving" });
+      expect(availability.refusal("a", last)).to.deep.equal({
+        kind: "leaving",
+      });
     });
 
-    it("counts for a short time where the answer is another's", () => {
-      const signals = new Availability();
-      signals.record("a", LEAVES, false, 0);
-      expect(signals.refusal("a", UNPROVEN_LEAVING_MS - 1)?.kind).to.equal(
+    it("stays in effect only briefly if the response carries another request's id", () => {
+      const availability = new Availability();
+      availability.record("a", LEAVING, false, 0);
+      expect(availability.refusal("a", UNPROVEN_LEAVING_MS - 1)?.kind).to.equal(
         "leaving",
       );
-      expect(signals.refusal("a", UNPROVEN_LEAVING_MS)).to.equal(undefined);
+      expect(availability.refusal("a", UNPROVEN_LEAVING_MS)).to.equal(
+        undefined,
+      );
     });
 
-    it("counts as long as any once an answer of its own has said it too", () => {
-      const signals = new Availability();
-      signals.record("a", LEAVES, false, 0);
-      signals.record("a", LEAVES, true, 1);
-      expect(signals.refusal("a", MAX_SIGNAL_MS)?.kind).to.equal("leaving");
+    it("stays in effect for the full time once a proven response repeats it", () => {
+      const availability = new Availability();
+      availability.record("a", LEAVING, false, 0);
+      availability.record("a", LEAVING, true, 1);
+      expect(availability.refusal("a", MAX_SIGNAL_MS)?.kind).to.equal(
+        "leaving",
+      );
     });
   });
 
-  describe("that it wants callers to back off", () => {
-    const signals = () => {
-      const fresh = new Availability();
-      fresh.record("a", backOff(100), true, 0);
-      return fresh;
+  describe("back-off signal", () => {
+    const backingOff = () => {
+      const availability = new Availability();
+      availability.record("a", backOff(100), true, 0);
+      return availability;
     };
 
-    it("counts for that time", () => {
+    it("stays in effect for the requested time", () => {
       const busy = { kind: "backing-off", untilMs: 100 };
-      expect(signals().refusal("a", 99.9)).to.deep.equal(busy);
-      expect(signals().refusal("a", 100)).to.equal(undefined);
+      expect(backingOff().refusal("a", 99.9)).to.deep.equal(busy);
+      expect(backingOff().refusal("a", 100)).to.equal(undefined);
     });
 
     for (const [what, signal] of [
-      ["another", backOff(100)],
+      ["one of equal length", backOff(100)],
       ["a shorter one", backOff(1)],
     ] as const) {
-      it(`is not shortened by ${what} within it`, () => {
-        const fresh = signals();
-        expect(fresh.record("a", signal, true, 50)).to.equal(undefined);
-        expect(fresh.refusal("a", 99)?.kind).to.equal("backing-off");
+      it(`is not shortened by ${what} received during it`, () => {
+        const availability = backingOff();
+        expect(availability.record("a", signal, true, 50)).to.equal(undefined);
+        expect(availability.refusal("a", 99)?.kind).to.equal("backing-off");
       });
     }
 
-    it("is prolonged by another within it", () => {
-      const fresh = signals();
-      fresh.record("a", backOff(100), true, 50);
-      expect(fresh.refusal("a", 149)?.kind).to.equal("backing-off");
+    it("is extended by one received during it that ends later", () => {
+      const availability = backingOff();
+      availability.record("a", backOff(100), true, 50);
+      expect(availability.refusal("a", 149)?.kind).to.equal("backing-off");
     });
 
-    it("is not ended by an answer to what was under way", () => {
-      const fresh = signals();
-      fresh.record("a", NO_SIGNAL, true, 50);
-      expect(fresh.refusal("a", 51)?.kind).to.equal("backing-off");
-      expect(fresh.refusalAtSend("a", 100)).to.equal(undefined);
-      expect(fresh.refusalAtSend("a", 101)?.kind).to.equal("backing-off");
+    it("is not ended by the response to a request already in flight", () => {
+      const availability = backingOff();
+      availability.record("a", NO_SIGNAL, true, 50);
+      expect(availability.refusal("a", 51)?.kind).to.equal("backing-off");
+      expect(availability.refusalAtSend("a", 100)).to.equal(undefined);
+      expect(availability.refusalAtSend("a", 101)?.kind).to.equal(
+        "backing-off",
+      );
     });
 
-    it("of no time is none", () => {
+    it("is ignored if its duration is zero", () => {
       expect(new Availability().record("a", backOff(0), true, 0)).to.equal(
         undefined,
       );
     });
 
-    it("lasts no longer than the longest that is believed", () => {
-      const fresh = new Availability();
-      fresh.record("a", backOff(Infinity), true, 0);
-      expect(fresh.refusal("a", MAX_SIGNAL_MS - 1)?.kind).to.equal(
+    it("is capped at the maximum signal duration", () => {
+      const availability = new Availability();
+      availability.record("a", backOff(Infinity), true, 0);
+      expect(availability.refusal("a", MAX_SIGNAL_MS - 1)?.kind).to.equal(
         "backing-off",
       );
-      expect(fresh.refusal("a", MAX_SIGNAL_MS)).to.equal(undefined);
+      expect(availability.refusal("a", MAX_SIGNAL_MS)).to.equal(undefined);
     });
 
-    it("counts in full where the answer is another's: it ends by itself", () => {
-      const fresh = new Availability();
-      fresh.record("a", backOff(60_000), false, 0);
-      expect(fresh.refusal("a", 59_999)?.kind).to.equal("backing-off");
+    it("stays in effect in full if the response carries another request's id, as it ends by itself", () => {
+      const availability = new Availability();
+      availability.record("a", backOff(60_000), false, 0);
+      expect(availability.refusal("a", 59_999)?.kind).to.equal("backing-off");
     });
 
-    it("ends with one send, and all others once that is answered", () => {
-      const fresh = signals();
-      expect(fresh.refusalAtSend("a", 100)).to.equal(undefined);
-      expect(fresh.refusalAtSend("a", 101)?.kind).to.equal("backing-off");
-      expect(fresh.unavailableReplicas(101)).to.have.length(1);
-      fresh.record("a", NO_SIGNAL, true, 110);
-      expect(fresh.refusalAtSend("a", 111)).to.equal(undefined);
-      expect(fresh.refusalAtSend("a", 111)).to.equal(undefined);
-      expect(fresh.unavailableReplicas(111)).to.deep.equal([]);
+    it("admits a single probe, and all requests once the probe is answered", () => {
+      const availability = backingOff();
+      expect(availability.refusalAtSend("a", 100)).to.equal(undefined);
+      expect(availability.refusalAtSend("a", 101)?.kind).to.equal(
+        "backing-off",
+      );
+      expect(availability.unavailableReplicas(101)).to.have.length(1);
+      availability.record("a", NO_SIGNAL, true, 110);
+      expect(availability.refusalAtSend("a", 111)).to.equal(undefined);
+      expect(availability.refusalAtSend("a", 111)).to.equal(undefined);
+      expect(availability.unavailableReplicas(111)).to.deep.equal([]);
     });
 
-    it("ends with one send after the other while none is answered", () => {
-      const fresh = signals();
-      const taken: number[] = [];
+    it("admits one probe per probe timeout while none is answered", () => {
+      const availability = backingOff();
+      const sentAt: number[] = [];
       for (let at = 0; at < 3000; at += 1) {
-        if (fresh.refusalAtSend("a", at) === undefined) taken.push(at);
+        if (availability.refusalAtSend("a", at) === undefined) sentAt.push(at);
       }
-      expect(taken).to.deep.equal([100, 1100, 2100]);
+      expect(sentAt).to.deep.equal([100, 1100, 2100]);
     });
   });
 
-  it("is forgotten with the oldest of many lives", () => {
-    const signals = new Availability();
-    for (let life = 0; life < 20_000; life += 1) {
-      signals.record(`life-${life}`, backOff(1e6), true, 0);
+  it("is dropped for the oldest when there are many incarnations", () => {
+    const availability = new Availability();
+    for (let index = 0; index < 20_000; index += 1) {
+      availability.record(`life-${index}`, backOff(1e6), true, 0);
     }
-    expect(signals.unavailableReplicas(1).length).to.be.at.most(10_000);
-    expect(signals.refusal("life-19999", 1)?.kind).to.equal("backing-off");
+    expect(availability.unavailableReplicas(1).length).to.be.at.most(10_000);
+    expect(availability.refusal("life-19999", 1)?.kind).to.equal("backing-off");
   });
 });
 
-describe("replicas that have sent signals", () => {
+describe("replicas that have sent availability signals", () => {
   const put = (replicas: ReplicaSet, ...items: Replica[]) => {
     for (const item of items) replicas.put(item);
   };
-  const names = (replicas: ReplicaSet, now: number) =>
+  const usableNames = (replicas: ReplicaSet, now: number) =>
     replicas.usable("plain", now).map(({ name }) => name);
 
-  it("are left out, whatever the list says of them afterwards", () => {
+  it("stay excluded, whatever the replica list says of them afterwards", () => {
     const replicas = new ReplicaSet();
     put(replicas, replica("a"), replica("b"));
-    replicas.signals.record("a", LEAVES, true, 0);
-    expect(names(replicas, 1)).to.deep.equal(["b"]);
+    replicas.signals.record("a", LEAVING, true, 0);
+    expect(usableNames(replicas, 1)).to.deep.equal(["b"]);
     replicas.put(replica("a"), 9);
-    expect(names(replicas, 2)).to.deep.equal(["b"]);
+    expect(usableNames(replicas, 2)).to.deep.equal(["b"]);
     replicas.replace([{ replica: replica("b") }], 3, false);
     put(replicas, replica("a"));
-    expect(names(replicas, 4)).to.deep.equal(["b"]);
+    expect(usableNames(replicas, 4)).to.deep.equal(["b"]);
     expect(replicas.signals.refusal("a", 4)).to.be.a("string");
   });
 
-  it("are left out where the list has said it and takes it back", () => {
+  it("stay excluded if the replica list reports them draining and then ready", () => {
     const replicas = new ReplicaSet();
     put(replicas, replica("a", { state: "draining" }));
     put(replicas, replica("a"), replica("b"));
-    expect(names(replicas, 1)).to.deep.equal(["b"]);
+    expect(usableNames(replicas, 1)).to.deep.equal(["b"]);
     expect(replicas.signals.unavailableIds("plain", 1)).to.deep.equal(["a"]);
   });
 
-  it("are used in their next life, and others at their address", () => {
+  it("do not exclude their next incarnation or another replica at their address", () => {
     const replicas = new ReplicaSet();
     put(replicas, replica("a", { id: "a@1", startedAt: 1 }));
-    replicas.signals.record("a@1", LEAVES, true, 0);
-    expect(names(replicas, 1)).to.deep.equal([]);
+    replicas.signals.record("a@1", LEAVING, true, 0);
+    expect(usableNames(replicas, 1)).to.deep.equal([]);
     put(replicas, replica("a", { id: "a@2", startedAt: 2 }));
-    expect(names(replicas, 1)).to.deep.equal(["a"]);
+    expect(usableNames(replicas, 1)).to.deep.equal(["a"]);
     const { address } = replica("a");
     put(replicas, replica("next", { address }));
     expect(replicas.signals.refusal("next", 1)).to.equal(undefined);
   });
 
-  it("that they leave are used for a short time where there is no other", () => {
+  it("are used briefly while leaving if there is no other replica", () => {
     const replicas = new ReplicaSet(1000);
     put(replicas, replica("a"), replica("b"));
-    replicas.signals.record("a", LEAVES, true, 0);
-    expect(names(replicas, 10)).to.deep.equal(["b"]);
-    replicas.signals.record("b", LEAVES, true, 500);
-    expect(names(replicas, 999)).to.deep.equal(["a", "b"]);
+    replicas.signals.record("a", LEAVING, true, 0);
+    expect(usableNames(replicas, 10)).to.deep.equal(["b"]);
+    replicas.signals.record("b", LEAVING, true, 500);
+    expect(usableNames(replicas, 999)).to.deep.equal(["a", "b"]);
     expect(replicas.usableUntil(999)).to.equal(1000);
-    expect(names(replicas, 1000)).to.deep.equal(["b"]);
-    expect(names(replicas, 1500)).to.deep.equal([]);
+    expect(usableNames(replicas, 1000)).to.deep.equal(["b"]);
+    expect(usableNames(replicas, 1500)).to.deep.equal([]);
     expect(replicas.signals.refusal("b", 1500)).to.be.a("string");
   });
 
-  it("that they want callers to back off tell when the first may be used", () => {
+  it("report the time until the first one that backs off may be used", () => {
     const replicas = new ReplicaSet();
     put(replicas, replica("a"), replica("b"), replica("c", { service: "s" }));
     replicas.signals.record("a", backOff(300), true, 0);
--- a/tests/gateway/engineCalls.test.ts
+++ b/tests/gateway/engineCalls.test.ts
@@ -1,4 +1,7 @@
-/** What is sent to engines for callers whose time is over, or who left. */
+/**
+ * No request is sent to an engine that is unavailable, or for a caller that has
+ * disconnected or whose deadline has passed.
+ */
 import { expect } from "chai";
 
 import { seededRng } from "../../src/shared/rng.js";
@@ -65,13 +68,13 @@
   return { run, sent, cancellation, replicas };
 };
 
-describe("sends to engines", () => {
+describe("requests to engines", () => {
   const signals = {
-    leaves: { isLeaving: true, backOffMs: undefined },
-    "wants callers to back off": { isLeaving: false, backOffMs: 1 },
+    "is leaving": { isLeaving: true, backOffMs: undefined },
+    "asks callers to back off": { isLeaving: false, backOffMs: 1 },
   };
-  for (const [says, signal] of Object.entries(signals)) {
-    it(`do not to one that says that it ${says}`, async () => {
+  for (const [behavior, signal] of Object.entries(signals)) {
+    it(`are not sent to an engine that ${behavior}`, async () => {
       const { run, sent, replicas } = setUp(500);
       replicas.signals.record("dec-1", signal, true, 0);
       const outcome = await run();
@@ -80,22 +83,22 @@
     });
   }
 
-  it("go out while the caller waits", async () => {
+  it("are sent while the caller waits", async () => {
     const { run, sent } = setUp(500);
     await run();
     expect(sent).to.have.length(1);
   });
 
-  it("do not for one whose time is over, though no timer has said so", async () => {
+  it("are not sent after the caller's deadline, even if its timer has not fired", async () => {
     const { run, sent } = setUp(0);
     expect(await run()).to.include({ kind: "failed", verdict: "not-run" });
     expect(sent).to.have.length(0);
   });
 
-  it("do not for one whose close waited behind the last answer", async () => {
+  it("are not sent if the caller's disconnect is handled after the previous response", async () => {
     const { run, sent, cancellation } = setUp(500);
     const outcome = run();
-    // Both came in one turn of the event loop; the close is read second.
+    // Both arrive in one turn of the event loop; the disconnect is handled second.
     cancellation.cancel();
     expect(await outcome).to.include({ kind: "failed", verdict: "not-run" });
     expect(sent).to.have.length(0);
--- a/tests/gateway/engineWatch.test.ts
+++ b/tests/gateway/engineWatch.test.ts
@@ -1,4 +1,4 @@
-/** What is made of engines whose answers are overdue. */
+/** Probes of engines whose responses are overdue. */
 import http from "node:http";
 import { expect } from "chai";
 
@@ -13,14 +13,14 @@
 import { UpstreamClient } from "../../src/gateway/upstreamClient.js";
 import { listen } from "../../src/http/index.js";
 
-const LOOK_MS = 5;
+const PROBE_INTERVAL_MS = 5;
 
 interface Report {
   running: number;
   waiting: number;
 }
 
-describe("an engine whose answer is overdue", () => {
+describe("an engine whose response is overdue", () => {
   let server: http.Server;
   let client: UpstreamClient;
   let reports: (Report | undefined)[];
@@ -39,7 +39,7 @@
     server.close();
   });
 
-  const verdict = async (): Promise<EngineActivity> => {
+  const probeResult = async (): Promise<EngineActivity> => {
     const address = await listen(server, "127.0.0.1:0");
     const replicas = new ReplicaSet();
     replicas.put({
@@ -77,19 +77,19 @@
       codec,
     } as unknown as EngineCallsOptions);
     return new Promise((resolve) => {
-      watch.start("model", "pre-1", LOOK_MS, resolve);
+      watch.start("model", "pre-1", PROBE_INTERVAL_MS, resolve);
     });
   };
 
-  it("is waited for while it works, and told when it has nothing to do", async () => {
+  it("is probed again while it works, and reported idle once it has no requests", async () => {
     const busy = { running: 1, waiting: 0 };
     reports = [busy, busy, { running: 0, waiting: 0 }];
-    expect(await verdict()).to.equal("idle");
+    expect(await probeResult()).to.equal("idle");
     expect(reports).to.have.length(1);
   });
 
-  it("is silent where it does not say what it does", async () => {
+  it("is reported silent if it does not answer the probe", async () => {
     reports = [undefined];
-    expect(await verdict()).to.equal("silent");
+    expect(await probeResult()).to.equal("silent");
   });
 });
--- a/tests/gateway/placement.test.ts
+++ b/tests/gateway/placement.test.ts
@@ -1,4 +1,4 @@
-/** Entries and the holder of a lease over their own protocol, on loopback. */
+/** The placement protocol between entries and the lease holder, on loopback. */
 import { expect } from "chai";
 
 import { RateLimits } from "../../src/rateLimits/index.js";
@@ -14,7 +14,7 @@
 import type { Log } from "../../src/telemetry/index.js";
 import { until } from "../support/until.js";
 
-const SILENT: Log = {
+const SILENT_LOG: Log = {
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
@@ -32,7 +32,7 @@
 });
 const ENGINES = [engine("reader", "prefill"), engine("runner", "decode")];
 
-const ask = (id: string): PlacementRequest => ({
+const placementRequest = (id: string): PlacementRequest => ({
   id,
   service: SERVICE,
   route: "lookup",
@@ -51,7 +51,7 @@
   unavailable: [],
 });
 
-const HELD: Grant = {
+const HELD_GRANT: Grant = {
   kind: "granted",
   reader: undefined,
   runner: "runner",
@@ -61,7 +61,7 @@
   ageMs: 0,
 };
 
-describe("placing through the holder", () => {
+describe("placement through the lease holder", () => {
   let local: LocalPlacement;
   let server: PlacementServer;
   let address: string;
@@ -77,7 +77,7 @@
       engines: () => ENGINES,
       sharingProcesses: () => 1,
       permits: rates,
-      log: SILENT,
+      log: SILENT_LOG,
       now,
     });
     server = new PlacementServer({
@@ -97,7 +97,7 @@
           ? { kind: "acquired" }
           : { kind: "held-back", waitMs: 250.5 };
       },
-      log: SILENT,
+      log: SILENT_LOG,
     });
     address = await server.listen("127.0.0.1:0");
   });
@@ -122,23 +122,25 @@
       onState: () => undefined,
       onConfig: () => undefined,
       onRates,
-      log: SILENT,
+      log: SILENT_LOG,
       now: clientNow,
       leaseNow: clientNow,
     });
     clients.push(client);
-    await until(() => isAccepted, "the holder accepts");
+    await until(() => isAccepted, "the lease holder accepts the stream");
     return client;
   };
 
-  /** Runs one request to its end, so that the pace of ends is known. */
-  const runOne = async (entry: PlacementClient): Promise<void> => {
-    expect((await entry.ask(ask("one")))?.kind).to.equal("granted");
+  /** Completes one request, so that the rate of completions is known. */
+  const completeOne = async (entry: PlacementClient): Promise<void> => {
+    expect((await entry.ask(placementRequest("one")))?.kind).to.equal(
+      "granted",
+    );
     entry.reportEvent({ kind: "ended", id: "one", ok: true, firstEventMs: 5 });
-    await until(() => runs() === 0, "the run ends");
+    await until(() => totalRuns() === 0, "the run ends");
   };
 
-  const runs = (): number =>
+  const totalRuns = (): number =>
     local
       .scheduler(SERVICE)
       .engineStates()
@@ -151,18 +153,18 @@
 
     it("includes a stall of the entry before it reads the grant", async () => {
       const entry = await connect(undefined, stalledNow);
-      const answer = entry.ask(ask("one"));
+      const answer = entry.ask(placementRequest("one"));
       stallMs = 3000;
       expect(await answer).to.include({ kind: "granted" });
       expect(((await answer) as Grant).ageMs).to.be.at.least(3000);
     });
 
-    it("excludes the time the ask was queued at the holder", async () => {
+    it("excludes the time the placement request was queued at the lease holder", async () => {
       const other = await connect();
-      await runOne(other);
-      await other.ask(ask("first"));
+      await completeOne(other);
+      await other.ask(placementRequest("first"));
       const entry = await connect(undefined, stalledNow);
-      const answer = entry.ask(ask("second"));
+      const answer = entry.ask(placementRequest("second"));
       await new Promise((resolve) => setTimeout(resolve, 200));
       other.reportEvent({
         kind: "ended",
@@ -175,12 +177,12 @@
   });
 
   /*
-   * A throw while a call is handled ends the stream, with the asks of all
-   * other requests; told again to the next holder, as entries do, the same
-   * ask ends that stream too.
+   * An exception while a message is handled would end the stream, with the
+   * placement requests of all other callers. Entries send theirs again to the
+   * next lease holder, so the same one would end that stream too.
    */
-  for (const tell of ["ask", "held"] as const) {
-    it(`goes on after a call that its decisions throw on: ${tell}`, async () => {
+  for (const messageKind of ["ask", "held"] as const) {
+    it(`continues after a message whose handling throws: ${messageKind}`, async () => {
       const entry = await connect();
       const scheduler = local.scheduler(SERVICE);
       const { place, adoptGrant: adopt } = scheduler;
@@ -192,21 +194,25 @@
         if (given.route === "bad") throw new Error("thrown on purpose");
         return adopt.call(scheduler, given, ...rest);
       };
-      const bad = { ...ask("bad"), route: "bad" };
-      if (tell === "held") entry.reportHeldGrant(bad, HELD, false);
+      const bad = { ...placementRequest("bad"), route: "bad" };
+      if (messageKind === "held") entry.reportHeldGrant(bad, HELD_GRANT, false);
       else expect((await entry.ask(bad))?.kind).to.equal("refused");
-      expect((await entry.ask(ask("good")))?.kind).to.equal("granted");
+      expect((await entry.ask(placementRequest("good")))?.kind).to.equal(
+        "granted",
+      );
     });
   }
 
-  it("hears of engines that leave, and places on", async () => {
+  it("reports leaving engines to the lease holder and continues to place requests", async () => {
     const entry = await connect();
     entry.reportEvent({ kind: "leaving", id: "", engine: "runner" });
-    expect((await entry.ask(ask("next")))?.kind).to.equal("granted");
+    expect((await entry.ask(placementRequest("next")))?.kind).to.equal(
+      "granted",
+    );
     expect(leaving).to.deep.equal(["runner"]);
   });
 
-  it("gives permits for replicas that nobody places on", async () => {
+  it("grants permits for replicas without placement", async () => {
     const entry = await connect();
     const free = await entry.requestPermit("p-1");
     expect(free).to.deep.equal({ kind: "acquired" });
@@ -215,37 +221,39 @@
     expect(held).to.deep.equal({ kind: "held-back", waitMs: 251 });
   });
 
-  it("answers no ask for a permit that it throws on, and goes on", async () => {
+  it("leaves a permit request unanswered if its handling throws, and continues", async () => {
     const entry = await connect();
     expect(await entry.requestPermit("unheard")).to.equal(undefined);
-    expect((await entry.ask(ask("next")))?.kind).to.equal("granted");
+    expect((await entry.ask(placementRequest("next")))?.kind).to.equal(
+      "granted",
+    );
   });
 
-  it("tells others which rates replicas take, once each change", async () => {
+  it("sends the rate limits of replicas to other entries, once per change", async () => {
     const entry = await connect();
-    const heard: RateNews[] = [];
-    await connect((news) => void heard.push(...news));
+    const received: RateNews[] = [];
+    await connect((news) => void received.push(...news));
     const news = { replica: "r", perS: 2, endedAgoMs: undefined };
     entry.sendRates([news, { ...news, replica: "odd", perS: NaN }]);
     await until(() => rates.isLimited("r", now()));
     for (let times = 0; times < 3; times += 1)
       server.notifyEntriesOfRates(SERVICE);
-    await until(() => heard.length > 0);
+    await until(() => received.length > 0);
     entry.sendRates([{ ...news, endedAgoMs: 0 }]);
     await until(() => rates.activeLimits(now())[0]?.endedAgoMs !== undefined);
     server.notifyEntriesOfRates(SERVICE);
-    await until(() => heard.length > 1);
-    expect(heard.map(({ perS }) => perS)).to.eql([2, 2]);
-    expect(heard[0]?.endedAgoMs).to.equal(undefined);
-    expect(heard[1]?.endedAgoMs).to.be.a("number");
+    await until(() => received.length > 1);
+    expect(received.map(({ perS }) => perS)).to.eql([2, 2]);
+    expect(received[0]?.endedAgoMs).to.equal(undefined);
+    expect(received[1]?.endedAgoMs).to.be.a("number");
   });
 
-  it("an ask that waits is answered when room comes", async () => {
+  it("answers a queued placement request when a slot becomes free", async () => {
     const entry = await connect();
-    await runOne(entry);
-    const first = await entry.ask(ask("first"));
+    await completeOne(entry);
+    const first = await entry.ask(placementRequest("first"));
     expect(first?.kind).to.equal("granted");
-    const second = entry.ask(ask("second"));
+    const second = entry.ask(placementRequest("second"));
     await until(() => local.scheduler(SERVICE).queueLength === 1);
     entry.reportEvent({
       kind: "ended",
@@ -256,39 +264,49 @@
     expect((await second)?.kind).to.equal("granted");
   });
 
-  it("what a lost entry had at engines takes no room any more", async () => {
+  it("frees the slots held by an entry that has disconnected", async () => {
     const lost = await connect();
     const other = await connect();
-    await runOne(other);
-    expect((await lost.ask(ask("first")))?.kind).to.equal("granted");
-    expect(runs()).to.equal(1);
-    const waiting = other.ask(ask("second"));
+    await completeOne(other);
+    expect((await lost.ask(placementRequest("first")))?.kind).to.equal(
+      "granted",
+    );
+    expect(totalRuns()).to.equal(1);
+    const waiting = other.ask(placementRequest("second"));
     await until(() => local.scheduler(SERVICE).queueLength === 1);
     lost.close();
     expect((await waiting)?.kind).to.equal("granted");
-    expect(runs()).to.equal(1);
+    expect(totalRuns()).to.equal(1);
   });
 
-  it("grants that entries tell of count, until those entries go", async () => {
+  it("counts grants reported by entries until those entries disconnect", async () => {
     const entry = await connect();
-    entry.reportHeldGrant(ask("held"), HELD, false);
-    await until(() => runs() === 1);
+    entry.reportHeldGrant(placementRequest("held"), HELD_GRANT, false);
+    await until(() => totalRuns() === 1);
     entry.close();
-    await until(() => runs() === 0);
+    await until(() => totalRuns() === 0);
   });
 
-  it("a grant whose prompt was read takes no time of its reader", async () => {
+  it("adds no backlog to the prefill engine for a grant whose prefill has ended", async () => {
     const entry = await connect();
     const backlogMs = (): number => {
       const engines = local.scheduler(SERVICE).engineStates();
-      const reader = engines.find(({ view }) => view.id === "reader");
-      return reader?.backlogMs(now()) ?? 0;
+      const prefillEngine = engines.find(({ view }) => view.id === "reader");
+      return prefillEngine?.backlogMs(now()) ?? 0;
     };
-    entry.reportHeldGrant(ask("read"), { ...HELD, reader: "reader" }, true);
-    await until(() => runs() === 1);
+    entry.reportHeldGrant(
+      placementRequest("read"),
+      { ...HELD_GRANT, reader: "reader" },
+      true,
+    );
+    await until(() => totalRuns() === 1);
     expect(backlogMs()).to.equal(0);
-    entry.reportHeldGrant(ask("unread"), { ...HELD, reader: "reader" }, false);
-    await until(() => runs() === 2);
+    entry.reportHeldGrant(
+      placementRequest("unread"),
+      { ...HELD_GRANT, reader: "reader" },
+      false,
+    );
+    await until(() => totalRuns() === 2);
     expect(backlogMs()).to.be.greaterThan(0);
   });
 });
--- a/tests/gateway/placementMessages.test.ts
+++ b/tests/gateway/placementMessages.test.ts
@@ -1,11 +1,11 @@
-/** What callers say of their prompts can't harm the stream to the holder. */
+/** Numbers from callers must not break the stream to the lease holder. */
 import { expect } from "chai";
 
 import { PlaceCall } from "../../src/gen/snowgate.js";
 import { toPlaceAsk } from "../../src/placement/messages.js";
 import type { PlacementRequest } from "../../src/scheduling/index.js";
 
-const ASK: PlacementRequest = {
+const REQUEST: PlacementRequest = {
   id: "e/1",
   service: "model",
   route: "r",
@@ -25,12 +25,21 @@
 };
 
 /*
- * A number that a message can't hold ends the whole stream to the holder,
- * with the asks of all other requests; told again to the next holder, it
- * ends that stream too.
+ * A number that the message cannot encode would end the stream to the lease
+ * holder, with the placement requests of all other callers. Sent again to the
+ * next lease holder, it would end that stream too.
  */
-describe("an ask with numbers that no message holds", () => {
-  const odd = [-1, 0.5, 2 ** 31, 2 ** 32, 99_999_999_999, 1e300, Infinity, NaN];
+describe("a placement request with numbers that the message cannot encode", () => {
+  const invalidNumbers = [
+    -1,
+    0.5,
+    2 ** 31,
+    2 ** 32,
+    99_999_999_999,
+    1e300,
+    Infinity,
+    NaN,
+  ];
   const fields = [
     "promptTokens",
     "outputTokens",
@@ -41,9 +50,12 @@
     "priority",
   ] as const;
   for (const field of fields) {
-    it(`is sent all the same: ${field}`, () => {
-      for (const value of [...odd, ...odd.map((number) => -number)]) {
-        const ask = toPlaceAsk({ ...ASK, [field]: value });
+    it(`is encoded all the same: ${field}`, () => {
+      for (const value of [
+        ...invalidNumbers,
+        ...invalidNumbers.map((number) => -number),
+      ]) {
+        const ask = toPlaceAsk({ ...REQUEST, [field]: value });
         const call = PlaceCall.fromPartial({ service: "model", ask });
         expect(
           () => PlaceCall.encode(call).finish(),
@@ -53,16 +65,16 @@
     });
   }
 
-  it("is sent all the same: tokens of a part", () => {
-    for (const tokens of odd) {
-      const ask = toPlaceAsk({ ...ASK, parts: [{ id: "aa", tokens }] });
+  it("is encoded all the same: tokens of a part", () => {
+    for (const tokens of invalidNumbers) {
+      const ask = toPlaceAsk({ ...REQUEST, parts: [{ id: "aa", tokens }] });
       const call = PlaceCall.fromPartial({ service: "model", ask });
       expect(() => PlaceCall.encode(call).finish()).to.not.throw();
     }
   });
 
-  it("says what fits as it is", () => {
-    const { promptTokens, objectiveLeftMs } = toPlaceAsk(ASK);
+  it("is encoded with its numbers unchanged if they fit", () => {
+    const { promptTokens, objectiveLeftMs } = toPlaceAsk(REQUEST);
     expect([promptTokens, objectiveLeftMs]).to.deep.equal([200, 100]);
   });
 });
