--- a/tests/gateway/play.test.ts
+++ b/tests/gateway/play.test.ts
@@ -1,7 +1,6 @@
 /**
- * Loads played in virtual time on the decisions that place requests: what
- * callers get is checked, not what the decisions do. A play of one seed
- * always ends the same.
+ * Plays loads in virtual time against the scheduler and checks the outcome for
+ * callers, not the decisions. A play is deterministic for a given seed.
  */
 import { expect } from "chai";
 
@@ -13,77 +12,78 @@
 
 interface Case {
   load: string;
-  /** Least part of each kind's requests that is served in time. */
-  inTime: Record<string, number>;
-  /** Most changes of stage. */
-  changes: number;
+  /** Minimum share of each kind's requests that is served in time. */
+  minInTime: Record<string, number>;
+  /** Maximum number of stage changes. */
+  maxChanges: number;
 }
 
+/** The comments give the result of the alternative policy that each case rules out. */
 const CASES: Case[] = [
   {
-    // Changes only where a stage lacks an engine: 0.87.
+    // Stage changes only if a stage lacks an engine: 0.87.
     load: "rush-after-quiet",
-    inTime: { "long-prompt": 0.92, "long-answer": 0.9 },
-    changes: 4,
+    minInTime: { "long-prompt": 0.92, "long-answer": 0.9 },
+    maxChanges: 4,
   },
   {
-    // The same: 0.82.
+    // Stage changes only if a stage lacks an engine: 0.82.
     load: "rush-on-many-engines",
-    inTime: { "long-prompt": 0.88, "long-answer": 0.9 },
-    changes: 18,
+    minInTime: { "long-prompt": 0.88, "long-answer": 0.9 },
+    maxChanges: 18,
   },
   {
-    // Changes back after 4 s: 0.88 and 0.78.
+    // Stage changes reversed after 4 s: 0.88 and 0.78.
     load: "alternating-rushes",
-    inTime: { "long-prompt": 0.95, "long-answer": 0.95 },
-    changes: 8,
+    minInTime: { "long-prompt": 0.95, "long-answer": 0.95 },
+    maxChanges: 8,
   },
   {
-    // A fifth of the engines of each stage at least: 0.79 and 0.76.
+    // At least a fifth of the engines in each stage: 0.79 and 0.76.
     load: "makers-lost-in-a-rush",
-    inTime: { "long-prompt": 0.85, "long-answer": 0.85 },
-    changes: 8,
+    minInTime: { "long-prompt": 0.85, "long-answer": 0.85 },
+    maxChanges: 8,
   },
   {
-    // Needs of the last 1.5 s: 0.83 of the prompts, 27 changes.
+    // Demand of the last 1.5 s only: 0.83 of the prompts, 27 changes.
     load: "swings-on-many-engines",
-    inTime: { "long-prompt": 0.85, "long-answer": 0.98 },
-    changes: 24,
+    minInTime: { "long-prompt": 0.85, "long-answer": 0.98 },
+    maxChanges: 24,
   },
   {
-    // The same: 0.92, 0.96 and 0.94.
+    // Demand of the last 1.5 s only: 0.92, 0.96 and 0.94.
     load: "cold-start-of-slow-readers",
-    inTime: {
+    minInTime: {
       "long-prompt": 0.95,
       "middle-prompt": 0.97,
       "short-prompt": 0.95,
     },
-    changes: 6,
+    maxChanges: 6,
   },
   {
-    // Runners chosen without regard to their pace: 0.92 of the answers.
+    // Decode engines chosen regardless of their speed: 0.92 of the answers.
     load: "longest-answers-in-a-rush",
-    inTime: { "long-prompt": 0.95, "long-answer": 0.93 },
-    changes: 8,
+    minInTime: { "long-prompt": 0.95, "long-answer": 0.93 },
+    maxChanges: 8,
   },
 ];
 
-describe("loads played on the decisions", () => {
-  for (const { load, inTime, changes } of CASES) {
+describe("loads played against the scheduler", () => {
+  for (const { load, minInTime, maxChanges } of CASES) {
     it(load, () => {
       const file = `bench/loads/${load}.yaml`;
       const played = new Play(readLoad(file), SEED).run();
-      for (const [kind, least] of Object.entries(inTime)) {
+      for (const [kind, minShare] of Object.entries(minInTime)) {
         const tally = played.tallies.get(kind)!;
-        expect(tally.inTime / tally.asked, kind).to.be.at.least(least);
+        expect(tally.inTime / tally.asked, kind).to.be.at.least(minShare);
         const { all, large, largest } = servedBySize(tally);
         expect(Math.min(large, largest) / all, kind).to.be.at.least(0.5);
       }
-      expect(played.changes).to.be.at.most(changes);
+      expect(played.changes).to.be.at.most(maxChanges);
     });
   }
 
-  it("counts runs until they end", () => {
+  it("counts runs of each engine until they end", () => {
     const load = readLoad("bench/loads/longest-answers-in-a-rush.yaml");
     expect(new Play(load, SEED).run().maxUncountedRuns).to.equal(0);
   });
@@ -97,13 +97,13 @@
     expect(served.largest / served.all).to.be.at.least(0.8);
   });
 
-  it("ends the same when played again", () => {
+  it("gives the same outcome when played again with the same seed", () => {
     const load = readLoad("bench/loads/swings-and-lost-engines.yaml");
     const [first, second] = [0, 1].map(() => new Play(load, SEED).run());
     expect(first!.tallies).to.eql(second!.tallies);
   });
 
-  it("names file and line of a load that can't be read", () => {
+  it("names the file of a load that cannot be read", () => {
     expect(() => readLoad("bench/loads/absent.yaml")).to.throw("absent.yaml");
   });
 });
--- a/tests/gateway/stageDemand.test.ts
+++ b/tests/gateway/stageDemand.test.ts
@@ -1,4 +1,4 @@
-/** What the planner of stages is told of the load. */
+/** The demand per stage that the stage planner gets. */
 import { expect } from "chai";
 
 import { EngineState } from "../../src/scheduling/engineState.js";
@@ -20,53 +20,62 @@
     new PrefillTimeModel(),
   );
 
-/** Measures `steps` steps in which so much is asked for each ms. */
-const measured = (
+/** Measures `steps` steps at constant `rates` of requested work per ms. */
+const measureSteps = (
   demand: StageDemand,
-  rates: { readMs: number; runMs: number },
-  from: { at: number; readMs: number; runMs: number },
+  rates: { prefillMs: number; runMs: number },
+  from: { at: number; prefillMs: number; runMs: number },
   steps: number,
 ) => {
   const state = { ...from };
   for (let step = 0; step < steps; step += 1) {
     state.at += STEP_MS;
-    state.readMs += rates.readMs * STEP_MS;
+    state.prefillMs += rates.prefillMs * STEP_MS;
     state.runMs += rates.runMs * STEP_MS;
-    const asked = { ...NO_DEMAND, prefillMs: state.readMs, runMs: state.runMs };
-    demand.measure(asked, [], state.at);
+    const totals = {
+      ...NO_DEMAND,
+      prefillMs: state.prefillMs,
+      runMs: state.runMs,
+    };
+    demand.measure(totals, [], state.at);
   }
   return state;
 };
 
-const START = { at: 0, readMs: 0, runMs: 0 };
+const START = { at: 0, prefillMs: 0, runMs: 0 };
 
 describe("demand for stages", () => {
-  it("follows the reading that is asked for, in engines", () => {
+  it("follows the requested prefill work, in engines", () => {
     const demand = new StageDemand();
     demand.measure(NO_DEMAND, [], 0);
-    measured(demand, { readMs: 4, runMs: 0 }, START, 20);
+    measureSteps(demand, { prefillMs: 4, runMs: 0 }, START, 20);
     expect(demand.prefillEngines).to.be.closeTo(4, 0.1);
   });
 
-  it("remembers a rush for a while, not for ever", () => {
+  it("keeps the demand of a burst for a while, but not forever", () => {
     const demand = new StageDemand();
     demand.measure(NO_DEMAND, [], 0);
-    const rush = measured(demand, { readMs: 4, runMs: 0 }, START, 20);
-    const calm = { readMs: 0.5, runMs: 0 };
-    const soon = measured(demand, calm, rush, 50);
+    const afterBurst = measureSteps(
+      demand,
+      { prefillMs: 4, runMs: 0 },
+      START,
+      20,
+    );
+    const calm = { prefillMs: 0.5, runMs: 0 };
+    const soonAfter = measureSteps(demand, calm, afterBurst, 50);
     expect(demand.prefillEngines).to.be.greaterThan(3);
-    measured(demand, calm, soon, 1000);
+    measureSteps(demand, calm, soonAfter, 1000);
     expect(demand.prefillEngines).to.be.lessThan(0.6);
   });
 
-  it("expects runs by their lengths before they have come together", () => {
+  it("estimates concurrent runs from their lengths before they accumulate", () => {
     const demand = new StageDemand();
     demand.measure(NO_DEMAND, [], 0);
-    measured(demand, { readMs: 0, runMs: 30 }, START, 20);
+    measureSteps(demand, { prefillMs: 0, runMs: 30 }, START, 20);
     expect(demand.peakRuns).to.be.closeTo(30, 1);
   });
 
-  it("counts the runs that are there where they are more", () => {
+  it("uses the current runs if they exceed the estimate", () => {
     const demand = new StageDemand();
     const busy = engine();
     const length = {
--- a/tests/gateway/stagePlanner.test.ts
+++ b/tests/gateway/stagePlanner.test.ts
@@ -1,10 +1,10 @@
-/** How many engines should read, and how many make tokens. */
+/** How many engines should prefill, and how many decode. */
 import { expect } from "chai";
 
 import { planStages } from "../../src/scheduling/index.js";
 import type { PlannedEngine, Stage } from "../../src/scheduling/index.js";
 
-describe("planner of stages", () => {
+describe("stage planner", () => {
   const planned =
     (stage: Stage, runs = 0, changingTo?: Stage) =>
     (id: string): PlannedEngine => ({
@@ -22,7 +22,7 @@
       planned("decode", runs)(`d${at}`),
     ),
   ];
-  const question = {
+  const baseInput = {
     prefillDemand: 1,
     decodePrefillDemand: 0,
     peakRuns: 5,
@@ -33,7 +33,7 @@
 
   const cases = [
     {
-      name: "leaves a fleet alone that can bear as much more of either",
+      name: "changes nothing if both stages have equal headroom",
       prefill: 4,
       decode: 4,
       prefillDemand: 2,
@@ -41,7 +41,7 @@
       to: undefined,
     },
     {
-      name: "has a spare engine read before prompts rush in",
+      name: "moves a spare engine to prefill before a burst of prompts",
       prefill: 3,
       decode: 5,
       prefillDemand: 2,
@@ -49,7 +49,7 @@
       to: "prefill",
     },
     {
-      name: "has a spare engine make tokens before answers grow",
+      name: "moves a spare engine to decode before answers grow",
       prefill: 5,
       decode: 3,
       prefillDemand: 1,
@@ -57,7 +57,7 @@
       to: "decode",
     },
     {
-      name: "takes no reader that prompts need",
+      name: "keeps prefill engines that prompts need",
       prefill: 5,
       decode: 3,
       prefillDemand: 4,
@@ -65,7 +65,7 @@
       to: undefined,
     },
     {
-      name: "judges nothing by a few prompts",
+      name: "changes nothing because of a few prompts",
       prefill: 4,
       decode: 4,
       prefillDemand: 0.15,
@@ -73,7 +73,7 @@
       to: undefined,
     },
     {
-      name: "judges nothing by a few answers",
+      name: "changes nothing because of a few answers",
       prefill: 4,
       decode: 4,
       prefillDemand: 0,
@@ -81,7 +81,7 @@
       to: undefined,
     },
     {
-      name: "has half of the engines read while nothing was asked",
+      name: "moves towards half of the engines in prefill without any demand",
       prefill: 3,
       decode: 5,
       prefillDemand: 0,
@@ -89,7 +89,7 @@
       to: "prefill",
     },
     {
-      name: "has half of them make tokens while nothing was asked",
+      name: "moves towards half of the engines in decode without any demand",
       prefill: 5,
       decode: 3,
       prefillDemand: 0,
@@ -97,7 +97,7 @@
       to: "decode",
     },
     {
-      name: "takes an idle engine for reading",
+      name: "moves an idle decode engine to prefill",
       prefill: 3,
       decode: 5,
       prefillDemand: 4,
@@ -105,7 +105,7 @@
       to: "prefill",
     },
     {
-      name: "takes none that runs need",
+      name: "keeps decode engines that runs need",
       prefill: 3,
       decode: 5,
       prefillDemand: 6,
@@ -113,7 +113,7 @@
       to: undefined,
     },
     {
-      name: "gives one back that runs need",
+      name: "moves an engine back to decode if runs need it",
       prefill: 6,
       decode: 2,
       prefillDemand: 1,
@@ -121,7 +121,7 @@
       to: "decode",
     },
     {
-      name: "keeps engines that make tokens",
+      name: "keeps decode engines despite a high prefill demand",
       prefill: 5,
       decode: 3,
       prefillDemand: 9,
@@ -133,7 +133,7 @@
     it(name, () => {
       const engines = fleet(prefill, decode);
       const change = planStages({
-        ...question,
+        ...baseInput,
         engines,
         prefillDemand,
         peakRuns,
@@ -142,47 +142,47 @@
     });
   }
 
-  it("leaves enough engines for the rests of prompts that runners read", () => {
+  it("keeps enough decode engines for the prefill that they do themselves", () => {
     const engines = fleet(3, 5);
-    const asked = { ...question, engines, prefillDemand: 4 };
-    expect(planStages({ ...asked, decodePrefillDemand: 1 })?.to).to.equal(
+    const input = { ...baseInput, engines, prefillDemand: 4 };
+    expect(planStages({ ...input, decodePrefillDemand: 1 })?.to).to.equal(
       "prefill",
     );
-    expect(planStages({ ...asked, decodePrefillDemand: 2 })).to.equal(
+    expect(planStages({ ...input, decodePrefillDemand: 2 })).to.equal(
       undefined,
     );
   });
 
-  it("does not turn back soon after a change", () => {
+  it("does not reverse a stage change soon afterwards", () => {
     const engines = fleet(3, 5);
-    const asked = { ...question, engines, prefillDemand: 4 };
-    expect(planStages({ ...asked, sinceChangeToDecodeMs: 100 })).to.equal(
+    const input = { ...baseInput, engines, prefillDemand: 4 };
+    expect(planStages({ ...input, sinceChangeToDecodeMs: 100 })).to.equal(
       undefined,
     );
   });
 
-  describe("changes half of the fleet at a time at the most", () => {
-    const changing = (count: number) =>
+  describe("changes at most half of the fleet at a time", () => {
+    const changingEngines = (count: number) =>
       Array.from({ length: count }, (_, at) =>
         planned("decode", 0, "prefill")(`c${at}`),
       );
     const rows = [
-      { under: 2, still: 6, to: "prefill" },
-      { under: 7, still: 9, to: "prefill" },
-      { under: 8, still: 8, to: undefined },
+      { changing: 2, stable: 6, to: "prefill" },
+      { changing: 7, stable: 9, to: "prefill" },
+      { changing: 8, stable: 8, to: undefined },
     ];
-    for (const { under, still, to } of rows) {
-      it(`${under} of ${under + still} under way: ${to ?? "none"}`, () => {
-        const engines = [...fleet(2, still - 2), ...changing(under)];
-        const asked = { ...question, engines, prefillDemand: 20 };
-        expect(planStages(asked)?.to).to.equal(to);
+    for (const { changing, stable, to } of rows) {
+      it(`${changing} of ${changing + stable} changing: ${to ?? "none"}`, () => {
+        const engines = [...fleet(2, stable - 2), ...changingEngines(changing)];
+        const input = { ...baseInput, engines, prefillDemand: 20 };
+        expect(planStages(input)?.to).to.equal(to);
       });
     }
   });
 
-  it("takes the engine with the least to finish", () => {
+  it("changes the engine with the least work left", () => {
     const engines = [...fleet(3, 4, 4), planned("decode", 1)("idle")];
-    const change = planStages({ ...question, engines, prefillDemand: 4 });
+    const change = planStages({ ...baseInput, engines, prefillDemand: 4 });
     expect(change?.id).to.equal("idle");
   });
 });
--- a/tests/gateway/tokenPace.test.ts
+++ b/tests/gateway/tokenTimeModel.test.ts
@@ -5,33 +5,33 @@
 import { EngineRuns } from "../../src/scheduling/engineRuns.js";
 import { TokenTimeModel } from "../../src/scheduling/tokenTimeModel.js";
 
-describe("token pace", () => {
+describe("token time model", () => {
   const load = (slotUsage: number) => ({
     slotUsage,
     tokens: slotUsage * 100_000,
   });
 
   it("has no estimate before enough streams have ended", () => {
-    const pace = new TokenTimeModel();
-    for (let at = 0; at < 15; at += 1) pace.observe(load(0.2), 1);
-    expect(pace.estimateMs(load(0.2))).to.equal(undefined);
+    const model = new TokenTimeModel();
+    for (let at = 0; at < 15; at += 1) model.observe(load(0.2), 1);
+    expect(model.estimateMs(load(0.2))).to.equal(undefined);
   });
 
   it("fits the time per token to the load of an engine", () => {
-    const pace = new TokenTimeModel();
+    const model = new TokenTimeModel();
     for (let at = 0; at < 160; at += 1) {
       const slotUsage = (at % 16) / 16;
-      pace.observe(load(slotUsage), 0.6 + 0.9 * slotUsage);
+      model.observe(load(slotUsage), 0.6 + 0.9 * slotUsage);
     }
-    expect(pace.estimateMs(load(0.2))).to.be.closeTo(0.78, 0.04);
-    expect(pace.estimateMs(load(1))).to.be.closeTo(1.5, 0.07);
+    expect(model.estimateMs(load(0.2))).to.be.closeTo(0.78, 0.04);
+    expect(model.estimateMs(load(1))).to.be.closeTo(1.5, 0.07);
   });
 
   it("expects a full engine to be slower without samples of one", () => {
-    const pace = new TokenTimeModel();
-    for (let at = 0; at < 32; at += 1) pace.observe(load(0.2), 1);
-    expect(pace.estimateMs(load(0.2))).to.be.closeTo(1, 0.05);
-    expect(pace.estimateMs(load(1))).to.be.at.least(1.4);
+    const model = new TokenTimeModel();
+    for (let at = 0; at < 32; at += 1) model.observe(load(0.2), 1);
+    expect(model.estimateMs(load(0.2))).to.be.closeTo(1, 0.05);
+    expect(model.estimateMs(load(1))).to.be.at.least(1.4);
   });
 });
 
@@ -65,12 +65,12 @@
   const run = { tokens: 1000, deadlineAt: 1500, length };
   /** A token takes 1 ms on an empty engine and 2 ms on a full one. */
   const newRuns = (): EngineRuns => {
-    const pace = new TokenTimeModel();
+    const model = new TokenTimeModel();
     for (let at = 0; at < 160; at += 1) {
       const slotUsage = (at % 16) / 16;
-      pace.observe({ slotUsage, tokens: 0 }, 1 + slotUsage);
+      model.observe({ slotUsage, tokens: 0 }, 1 + slotUsage);
     }
-    return new EngineRuns(() => SLOTS, pace);
+    return new EngineRuns(() => SLOTS, model);
   };
 
   it("are expected to meet their deadline on a lightly loaded engine", () => {
--- a/tests/gateway/upstreamClient.test.ts
+++ b/tests/gateway/upstreamClient.test.ts
@@ -1,4 +1,4 @@
-/** Connections to replicas: bounds, and what is proved when a send fails. */
+/** Connections to replicas: limits, and whether a failed request may have run. */
 import { expect } from "chai";
 import http from "node:http";
 import type { ServerResponse } from "node:http";
@@ -51,7 +51,7 @@
     }
   };
 
-  it("are no more than allowed; further requests wait", async () => {
+  it("stay within the limit while further requests wait", async () => {
     client.limitConnections("plain", 2);
     const sent = [send(), send(), send(), send()];
     for (let done = 0; done < sent.length; done += 1) {
@@ -63,7 +63,7 @@
     expect(connections).to.be.at.most(2);
   });
 
-  it("a request that was sent and cancelled may have run", async () => {
+  it("report that a request cancelled after it was sent may have run", async () => {
     const cancellation = new Cancellation();
     const sent = send(cancellation);
     await untilWaiting(1);
@@ -73,7 +73,7 @@
     expect(outcome.verdict).to.equal("may-have-run");
   });
 
-  it("a request that found no connection has not run", async () => {
+  it("report that a request cancelled before it got a connection has not run", async () => {
     client.limitConnections("plain", 1);
     const first = send();
     await untilWaiting(1);
@@ -88,7 +88,7 @@
     expect(waiting).to.have.length(1);
   });
 
-  const refusals = {
+  const connectionCases = {
     "on a kept connection": async () => {
       const first = send();
       await untilWaiting(1);
@@ -98,8 +98,8 @@
     },
     "on a new connection": async () => undefined,
   };
-  for (const [where, prepare] of Object.entries(refusals)) {
-    it(`nothing leaves that is refused then, ${where}`, async () => {
+  for (const [where, prepare] of Object.entries(connectionCases)) {
+    it(`do not send a request that is refused at send time, ${where}`, async () => {
       await prepare();
       const before = waiting.length;
       const outcome = await send(new Cancellation(), address, () => "later");
@@ -109,21 +109,21 @@
         why: "later",
         isUnavailable: true,
       });
-      // The next one goes, and is the only one that arrives.
+      // The next request is sent and is the only one that arrives.
       void send();
       await untilWaiting(before + 1);
       expect(waiting).to.have.length(before + 1);
     });
   }
 
-  it("what waited for a connection is looked at when it leaves", async () => {
+  it("check for a refusal again when a request that waited for a connection is sent", async () => {
     client.limitConnections("plain", 1);
-    let isWilling = true;
-    const refusal = () => (isWilling ? undefined : "it backs off by now");
+    let isAvailable = true;
+    const refusal = () => (isAvailable ? undefined : "it backs off by now");
     const first = send(new Cancellation(), address, refusal);
     const second = send(new Cancellation(), address, refusal);
     await untilWaiting(1);
-    isWilling = false;
+    isAvailable = false;
     waiting[0]?.end();
     const outcome = await first;
     if (outcome.kind === "reply") outcome.res.resume();
@@ -134,11 +134,11 @@
     expect(waiting).to.have.length(1);
   });
 
-  it("a port where nobody listens: has not run", async () => {
-    const free = http.createServer();
-    const nobody = await listen(free, "127.0.0.1:0");
-    await new Promise((resolve) => free.close(resolve));
-    const outcome = await send(new Cancellation(), nobody);
+  it("report that a request to a port without a listener has not run", async () => {
+    const closedServer = http.createServer();
+    const unusedAddress = await listen(closedServer, "127.0.0.1:0");
+    await new Promise((resolve) => closedServer.close(resolve));
+    const outcome = await send(new Cancellation(), unusedAddress);
     if (outcome.kind === "reply") throw new Error("answered");
     expect(outcome.verdict).to.equal("not-run");
   });
--- a/tests/gateway/waitQueue.test.ts
+++ b/tests/gateway/waitQueue.test.ts
@@ -1,4 +1,4 @@
-/** The order of requests that wait for engines, and which may wait. */
+/** Order of the requests queued for engines, and which are admitted. */
 import { expect } from "chai";
 
 import type { PlacementRequest } from "../../src/scheduling/index.js";
@@ -20,10 +20,10 @@
 const load = { engines: 2, backlogMs: 50, onTimeShare: 0, capacityWaitMs: 0 };
 
 const order = (queue: WaitQueue): string[] =>
-  queue.peek(9).map(({ request: ask }) => ask.id);
+  queue.peek(9).map(({ request }) => request.id);
 
-describe("requests that wait for engines", () => {
-  it("begin in the order in which they must, late ones last", () => {
+describe("requests queued for engines", () => {
+  it("are ordered by their latest on-time start, with late ones last", () => {
     const queue = new WaitQueue();
     queue.add(item("late", { onTimeUntil: -1 }), 0);
     queue.add(item("soon", { onTimeUntil: 200 }), 0);
@@ -31,7 +31,7 @@
     expect(order(queue)).to.eql(["sooner", "soon", "late"]);
   });
 
-  it("go behind when they can't be in time any more", () => {
+  it("move behind the others once they can no longer be on time", () => {
     const queue = new WaitQueue();
     queue.add(item("a", { onTimeUntil: 100 }), 0);
     queue.add(item("b", { onTimeUntil: 200 }), 0);
@@ -39,16 +39,16 @@
     expect(order(queue)).to.eql(["b", "a"]);
   });
 
-  it("are given up when their callers would not wait any longer", () => {
+  it("are removed once it is too late to start them before their deadline", () => {
     const queue = new WaitQueue();
     queue.add(item("a", { latestStartAt: 500 }), 0);
     queue.add(item("b", { latestStartAt: 900 }), 0);
-    const hopeless = queue.removeExpired(600).map(({ request: ask }) => ask.id);
-    expect(hopeless).to.eql(["a"]);
+    const expired = queue.removeExpired(600).map(({ request }) => request.id);
+    expect(expired).to.eql(["a"]);
     expect(order(queue)).to.eql(["b"]);
   });
 
-  it("late ones: the more urgent kind first, then the latest start", () => {
+  it("are ordered by priority, then by latest start, if they are late", () => {
     const queue = new WaitQueue();
     const late = { onTimeUntil: -1 };
     const urgent = { id: "urgent", priority: 0 } as PlacementRequest;
@@ -58,47 +58,49 @@
     expect(order(queue)).to.eql(["urgent", "first", "second"]);
   });
 
-  describe("may wait", () => {
+  describe("admission to the queue", () => {
     const rows = [
-      { name: "where they will be in time", load, may: true },
+      { name: "admits requests that will be on time", load, isAdmitted: true },
       {
-        name: "late, where their turn comes soon",
+        name: "admits late requests if their turn comes soon",
         load: { ...load, backlogMs: 900 },
-        may: true,
+        isAdmitted: true,
       },
       {
-        name: "not where it comes too late for callers",
+        name: "rejects requests whose turn comes too late for their callers",
         load: { ...load, backlogMs: 1100 },
-        may: false,
+        isAdmitted: false,
       },
       {
-        name: "not where what is in time takes the engines",
+        name: "rejects late requests if on-time requests occupy the engines",
         load: { ...load, backlogMs: 900, onTimeShare: 0.5 },
-        may: false,
+        isAdmitted: false,
       },
       {
-        name: "not without engines",
+        name: "rejects requests if there are no engines",
         load: { ...load, engines: 0 },
-        may: false,
+        isAdmitted: false,
       },
       {
-        name: "where room to run comes soon",
+        name: "admits requests if capacity to run them is free soon",
         load: { ...load, capacityWaitMs: 200 },
-        may: true,
+        isAdmitted: true,
       },
       {
-        name: "not where nothing that runs ends",
+        name: "rejects requests if no run is expected to end",
         load: { ...load, capacityWaitMs: Infinity },
-        may: false,
+        isAdmitted: false,
       },
     ];
-    for (const { name, load: seen, may } of rows) {
+    for (const { name, load: currentLoad, isAdmitted } of rows) {
       it(name, () => {
-        expect(new WaitQueue().canQueue(item("a"), seen, 0)).to.equal(may);
+        expect(new WaitQueue().canQueue(item("a"), currentLoad, 0)).to.equal(
+          isAdmitted,
+        );
       });
     }
 
-    it("not behind too many others", () => {
+    it("rejects requests behind too many others", () => {
       const queue = new WaitQueue();
       let count = 0;
       const late = { onTimeUntil: -1 };
