--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway believes: routes, replicas, events, budgets, log lines. */
+/** State of a gateway: routes, replicas, event streams, retry budgets, log lines. */
 import { expect } from "chai";
 import { spawnSync } from "node:child_process";
 import { constants, mkdtempSync, openSync } from "node:fs";
@@ -51,11 +51,11 @@
     });
   }
 
-  it("knows no route of another host", () => {
+  it("matches no route of another host", () => {
     expect(table.match("other.example", "/a/x")).to.equal(undefined);
   });
 
-  it("draws services by weight, and none of weight 0", () => {
+  it("draws services by weight, and never one of weight 0", () => {
     const split = route("split", "/", [90, 0, 10]);
     expect(drawService(split, () => 0.89)).to.equal("s0");
     expect(drawService(split, () => 0.9)).to.equal("s2");
@@ -79,7 +79,7 @@
   const ids = (set: ReplicaSet, now: number) =>
     set.usable("plain", now).map((item) => item.id);
 
-  it("a replica that drains or vanishes gets nothing more", () => {
+  it("exclude replicas that drain or disappear from the list", () => {
     const set = new ReplicaSet();
     for (const id of ["a", "b", "c"]) set.put(replica(id));
     set.put(replica("a", { state: "draining" }));
@@ -87,7 +87,7 @@
     expect(ids(set, 0)).to.deep.equal(["c"]);
   });
 
-  it("one that vanishes in trouble is kept for a while", () => {
+  it("keep one that disappears while the store is unavailable for a grace period", () => {
     const set = new ReplicaSet();
     set.put(replica("a"));
     set.remove("a", 0, true);
@@ -96,7 +96,7 @@
     expect(set.removeExpired(VANISHED_GRACE_MS)).to.have.length(1);
   });
 
-  it("one that comes back is no longer given up", () => {
+  it("keep one that reappears within the grace period", () => {
     const set = new ReplicaSet();
     set.put(replica("a"));
     set.replace([], 0, true);
@@ -104,7 +104,7 @@
     expect(ids(set, VANISHED_GRACE_MS * 2)).to.deep.equal(["a"]);
   });
 
-  it("a draining one that vanishes in trouble is gone", () => {
+  it("drop a draining one that disappears, without a grace period", () => {
     const set = new ReplicaSet();
     set.put(replica("a", { state: "draining" }));
     set.remove("a", 0, true);
@@ -120,11 +120,11 @@
       return set;
     };
 
-    it("only the newest gets work: the other has crashed", () => {
+    it("use only the newest, as the other one has crashed", () => {
       expect(ids(pair(), 0)).to.deep.equal(["after"]);
     });
 
-    it("the other gets it where the newest is not there", () => {
+    it("use the other one while the newest is not found there", () => {
       const set = pair();
       set.markMisdirected("after", 0);
       expect(ids(set, 1)).to.deep.equal(["before"]);
@@ -132,7 +132,7 @@
       expect(ids(set, until)).to.deep.equal(["after"]);
     });
 
-    it("one alone is used though another answered there", () => {
+    it("use a single one even if another replica answered there", () => {
       const set = new ReplicaSet();
       set.put(replica("a"));
       set.markMisdirected("a", 0);
@@ -140,8 +140,11 @@
     });
   });
 
-  describe("that started again under their name", () => {
-    const life = (startedAt: number | undefined, more: Partial<Replica> = {}) =>
+  describe("that restarted under the same name", () => {
+    const incarnation = (
+      startedAt: number | undefined,
+      more: Partial<Replica> = {},
+    ) =>
       replica(startedAt === undefined ? "a" : `a@${startedAt}`, {
         name: "a",
         address: "a:1",
@@ -151,51 +154,54 @@
     const kinds = (changes: readonly { kind: string; replica: Replica }[]) =>
       changes.map(({ kind, replica: { id } }) => `${kind} ${id}`);
 
-    it("end their former life, though its entry never lapsed", () => {
+    it("replace their previous incarnation, even if its entry never expired", () => {
       const set = new ReplicaSet();
-      set.put(life(10), 1);
+      set.put(incarnation(10), 1);
       set.markMisdirected("a@10", 0);
-      expect(kinds(set.put(life(20), 2))).to.eql(["gone a@10", "added a@20"]);
+      expect(kinds(set.put(incarnation(20), 2))).to.eql([
+        "gone a@10",
+        "added a@20",
+      ]);
       expect(set.get("a@10")).to.equal(undefined);
-      // What was held against the former life is not held against this one.
+      // The misdirected response of the previous incarnation does not count for this one.
       expect(ids(set, 1)).to.eql(["a@20"]);
     });
 
-    it("end it also where only the whole list shows it, in trouble too", () => {
+    it("replace it also if only a full list shows the restart, with the store unavailable", () => {
       const set = new ReplicaSet();
-      set.put(life(10), 1);
-      const listed = [{ replica: life(20), revision: 2 }];
+      set.put(incarnation(10), 1);
+      const listed = [{ replica: incarnation(20), revision: 2 }];
       const changes = set.replace(listed, 0, true);
       expect(kinds(changes)).to.eql(["gone a@10", "added a@20"]);
     });
 
-    it("are not turned back by late words of it", () => {
+    it("are not replaced by late updates of the previous incarnation", () => {
       const set = new ReplicaSet();
-      set.put(life(20), 5);
-      expect(set.put(life(10), 6)).to.eql([]);
-      expect(set.put(life(20, { state: "draining" }), 4)).to.eql([]);
+      set.put(incarnation(20), 5);
+      expect(set.put(incarnation(10), 6)).to.eql([]);
+      expect(set.put(incarnation(20, { state: "draining" }), 4)).to.eql([]);
       expect(ids(set, 0)).to.eql(["a@20"]);
     });
 
-    it("leave the list with their entry", () => {
+    it("are removed with their entry", () => {
       const set = new ReplicaSet();
-      set.put(life(10), 1);
-      set.put(life(20), 2);
+      set.put(incarnation(10), 1);
+      set.put(incarnation(20), 2);
       expect(set.remove("a", 0, false)?.replica.id).to.equal("a@20");
       expect(set.size).to.equal(0);
     });
 
-    it("go on as they are where an entry does not say", () => {
+    it("keep their incarnation if an entry does not give its start time", () => {
       const set = new ReplicaSet();
-      set.put(life(10), 1);
-      const changes = set.put(life(undefined, { state: "draining" }), 2);
+      set.put(incarnation(10), 1);
+      const changes = set.put(incarnation(undefined, { state: "draining" }), 2);
       expect(kinds(changes)).to.eql(["changed a@10"]);
       expect(ids(set, 0)).to.eql([]);
     });
   });
 
-  describe("beside entries of a service that nobody names", () => {
-    it("keep their place at their address", () => {
+  describe("next to entries of services that are not configured", () => {
+    it("keep their address if the other service is not configured", () => {
       const set = new ReplicaSet();
       set.setServices(["plain"]);
       set.put(replica("a", { address: "x:1" }), 1);
@@ -203,7 +209,7 @@
       expect(ids(set, 0)).to.eql(["a"]);
     });
 
-    it("lose it to the service that has the address now", () => {
+    it("lose their address to a configured service listed there later", () => {
       const set = new ReplicaSet();
       set.setServices(["plain", "other"]);
       set.put(replica("a", { address: "x:1" }), 1);
@@ -212,7 +218,7 @@
     });
   });
 
-  it("a second list in trouble does not prolong it", () => {
+  it("do not extend the grace period with a second list while the store is unavailable", () => {
     const set = new ReplicaSet();
     set.put(replica("a"));
     set.replace([], 0, true);
@@ -224,7 +230,7 @@
 describe("event streams", () => {
   const whole = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
 
-  it("passes events only when they are whole, at any cut", () => {
+  it("pass only complete events, wherever the stream is split", () => {
     for (let cut = 0; cut <= whole.length; cut += 1) {
       const splitter = new EventSplitter();
       const first = splitter.push(Buffer.from(whole.slice(0, cut)));
@@ -235,14 +241,14 @@
     }
   });
 
-  it("holds what is left of an event", () => {
+  it("hold back an incomplete event", () => {
     const splitter = new EventSplitter();
     const { bytes } = splitter.push(Buffer.from(`${whole}id: 3\ndata:`));
     expect(bytes.toString()).to.equal(whole);
     expect(splitter.pendingBytes).to.equal(11);
   });
 
-  it("takes line ends of two bytes", () => {
+  it("accept CRLF line ends", () => {
     const splitter = new EventSplitter();
     const { lastId } = splitter.push(Buffer.from("id: 7\r\ndata\r\n\r\nid"));
     expect(lastId).to.equal("7");
@@ -258,24 +264,24 @@
       () => 0,
     );
 
-  it("allow no more than the ratio, over any number of requests", () => {
+  it("allow no more retries than the ratio over many requests", () => {
     const budgets = newBudgets(64);
-    let spent = 0;
+    let retries = 0;
     for (let at = 0; at < 1000; at += 1) {
       budgets.recordRequest("s");
-      if (budgets.tryRetry("s")) spent += 1;
+      if (budgets.tryRetry("s")) retries += 1;
     }
-    expect(spent).to.be.at.most(1000 * 0.2);
-    expect(spent).to.be.greaterThan(1000 * 0.1);
+    expect(retries).to.be.at.most(1000 * 0.2);
+    expect(retries).to.be.greaterThan(1000 * 0.1);
   });
 
-  it("start with a part of the fleet's stock", () => {
+  it("start with a share of the fleet's burst", () => {
     const budgets = newBudgets(64);
-    const taken = [1, 2, 3].map(() => budgets.tryRetry("s"));
-    expect(taken).to.deep.equal([true, true, false]);
+    const allowed = [1, 2, 3].map(() => budgets.tryRetry("s"));
+    expect(allowed).to.deep.equal([true, true, false]);
   });
 
-  it("are kept apart by service", () => {
+  it("are separate per service", () => {
     const budgets = newBudgets(32);
     expect(budgets.tryRetry("a")).to.equal(true);
     expect(budgets.tryRetry("b")).to.equal(true);
@@ -283,7 +289,7 @@
 });
 
 describe("log", () => {
-  it("leaves lines of one kind out beyond the budget, and counts them", () => {
+  it("omits lines of one kind beyond the budget and counts them", () => {
     const budget = new LineBudget();
     let written = 0;
     for (let at = 0; at < 1000; at += 1) {
@@ -295,7 +301,7 @@
     expect(budget.take("failed", 0)).to.equal(true);
   });
 
-  it("does not wait for a reader that has stopped", () => {
+  it("does not block on a reader that has stopped", () => {
     const file = path.join(mkdtempSync(path.join(os.tmpdir(), "log-")), "pipe");
     spawnSync("mkfifo", [file]);
     const flags = constants.O_RDWR | constants.O_NONBLOCK;
@@ -313,7 +319,7 @@
   const KIND = "replicas";
   const newState = () => {
     const clock = { now: 0 };
-    const quiet = () => undefined;
+    const noop = () => undefined;
     const state = new GatewayState(
       {
         configKind: "config",
@@ -323,10 +329,10 @@
         decodeReplica: (name, value) =>
           ({ id: name, name, ...(value as object) }) as Replica,
       },
-      { info: quiet, warn: quiet, error: quiet, debug: quiet },
+      { info: noop, warn: noop, error: noop, debug: noop },
       () => clock.now,
       () => clock.now,
-      quiet,
+      noop,
     );
     const engine = {
       slots: 4,
@@ -361,7 +367,7 @@
   const ids = (state: GatewayState): string[] =>
     state.engines("model").map(({ id, stage }) => `${id} ${stage}`);
 
-  it("learns the status of a revision that another process told before", () => {
+  it("take the status of a revision that another process sent before", () => {
     const { state, value } = newState();
     const seen: unknown[] = [];
     state.onStatus = (status) => seen.push(status);
@@ -375,7 +381,7 @@
     expect(seen).to.eql([status]);
   });
 
-  it("are the same list until something changes", () => {
+  it("return the same list until something changes", () => {
     const { state } = newState();
     state.onReplicaChange(listed("a", "decode"), false);
     const before = state.engines("model");
@@ -386,7 +392,7 @@
     expect(ids(state)).to.eql(["a prefill", "b decode"]);
   });
 
-  it("lack one that vanished as soon as its time is over", () => {
+  it("drop one that disappeared once its grace period is over", () => {
     const { state, clock } = newState();
     state.onReplicaChange(listed("a", "decode"), false);
     expect(ids(state)).to.have.length(1);
