--- a/src/gateway/engineCalls.ts
+++ b/src/gateway/engineCalls.ts
@@ -9,7 +9,7 @@
 import type { ReplicaEndDetector } from "./replicaEndDetector.js";
 import type { ReplicaSet } from "./replicaSet.js";
 import type { RequestCodec } from "./requestCodec.js";
-import type { KvHandle, UpstreamSend } from "./types.js";
+import type { PrefillHandle, UpstreamSend } from "./types.js";
 import type { ReplicaClient } from "./replicaClient.js";
 import type { UpstreamClient, UpstreamReply } from "./upstreamClient.js";
 
@@ -141,7 +141,7 @@
   }
 
   /** Tells the replica that its KV handle will not be used. */
-  releaseHandle(service: string, handle: KvHandle): void {
+  releaseHandle(service: string, handle: PrefillHandle): void {
     const { upstream, codec, log, now } = this.options;
     const begun = now();
     const cancellation = new BoundedCancellation(undefined, RELEASE_TIMEOUT_MS);
--- a/src/gateway/engineRun.ts
+++ b/src/gateway/engineRun.ts
@@ -6,7 +6,7 @@
 import type { EngineActivity, EngineWatch } from "./engineWatch.js";
 import { canRetry, overdueResult } from "./requestProgress.js";
 import type { RequestProgress, RoundResult } from "./requestProgress.js";
-import type { KvHandle } from "./types.js";
+import type { PrefillHandle } from "./types.js";
 import type { UpstreamReply } from "./upstreamClient.js";
 import { readWholeBody } from "./upstreamClient.js";
 import { replyFault } from "./verdicts.js";
@@ -30,7 +30,7 @@
   async run(
     progress: RequestProgress,
     grant: Grant,
-    handle: KvHandle | undefined,
+    handle: PrefillHandle | undefined,
   ): Promise<RoundResult> {
     const { codec, now } = this.options;
     const { runner } = grant;
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -15,7 +15,7 @@
   GatewayService,
   InboundHead,
   PromptShape,
-  KvHandle,
+  PrefillHandle,
   Replica,
   ReplicaSignal,
   ReplyHead,
--- a/src/gateway/promptPrefiller.ts
+++ b/src/gateway/promptPrefiller.ts
@@ -8,7 +8,7 @@
 import type { EngineCalls, EngineCallsOptions } from "./engineCalls.js";
 import { MAX_SHORT_RESPONSE_BYTES } from "./engineCalls.js";
 import type { EngineActivity, EngineWatch } from "./engineWatch.js";
-import type { KvHandle } from "./types.js";
+import type { PrefillHandle } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
 /** An engine is first probed after this many times the expected time, … */
@@ -17,7 +17,7 @@
 const PREFILL_SLACK_MS = 250;
 
 export type PrefillOutcome =
-  | { kind: "read"; handle: KvHandle }
+  | { kind: "read"; handle: PrefillHandle }
   | { kind: "wrong-stage" }
   /** The engine accepts no work for now. */
   | { kind: "unavailable"; why: string }
--- a/src/gateway/requestCodec.ts
+++ b/src/gateway/requestCodec.ts
@@ -9,7 +9,7 @@
 import type {
   EngineReport,
   InboundHead,
-  KvHandle,
+  PrefillHandle,
   Replica,
   ReplicaSignal,
   ReplyHead,
@@ -51,9 +51,9 @@
   responseHeaders(rawHeaders: readonly string[]): string[];
   failureAnswer(failure: RequestFailure, requestId: string): FailureAnswer;
   /** The handle in the response to a `read`; undefined if there is none. */
-  readHandle(address: string, body: string): KvHandle | undefined;
+  readHandle(address: string, body: string): PrefillHandle | undefined;
   /** Path of the call that frees a handle on the replica that holds it. */
-  freeHandlePath(handle: KvHandle): string;
+  freeHandlePath(handle: PrefillHandle): string;
   /** Requests an engine's status report. */
   reportCall(replica: Replica): ReplicaCall;
   /** Throws if the body is not a report. */
--- a/src/gateway/streamFlow.ts
+++ b/src/gateway/streamFlow.ts
@@ -28,7 +28,7 @@
 import type { RequestProgress, RoundResult } from "./requestProgress.js";
 import { PromptPrefiller } from "./promptPrefiller.js";
 import type { RetryBudgets } from "./retryBudgets.js";
-import type { KvHandle } from "./types.js";
+import type { PrefillHandle } from "./types.js";
 import { afterBackOffMs, failureOf } from "./verdicts.js";
 
 export interface StreamFlowOptions extends EngineCallsOptions {
@@ -180,7 +180,7 @@
   ): Promise<RoundResult> {
     const { caller } = progress;
     if (caller.cancellation.isCancelled) return overdueResult(progress);
-    let handle: KvHandle | undefined;
+    let handle: PrefillHandle | undefined;
     if (grant.reader !== undefined) {
       const prefilled = await this.prefillPrompt(progress, grant, grant.reader);
       if (prefilled.kind !== "read") return prefilled;
@@ -196,7 +196,7 @@
     progress: RequestProgress,
     grant: Grant,
     reader: string,
-  ): Promise<RoundResult | { kind: "read"; handle: KvHandle }> {
+  ): Promise<RoundResult | { kind: "read"; handle: PrefillHandle }> {
     const { placement } = this.options;
     const { caller, grantId } = progress;
     const order = {
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -158,7 +158,7 @@
 }
 
 /** Refers to the KV cache of a prompt that another replica has prefilled. */
-export interface KvHandle {
+export interface PrefillHandle {
   /** Address of the replica that holds it. */
   address: string;
   id: string;
@@ -174,7 +174,7 @@
   /** `read`: prefill the prompt only; `run`: generate the response. */
   phase: "read" | "run";
   /** Prefilled prompt from which the run starts. */
-  handle?: KvHandle;
+  handle?: PrefillHandle;
   /** Address of a replica to fetch cached prompt parts from first. */
   cacheSource?: string;
   /** Id of the event after which the run resumes. */
