--- a/src/claims/storedClaims.ts
+++ b/src/claims/storedClaims.ts
@@ -1,5 +1,5 @@
 /**
- * Claims storedObject in the object API. Claims of a shard that arrive during a write
+ * Claims stored in the object API. Claims of a shard that arrive during a write
  * are batched into the next one, so that many requests share a write.
  */
 import { randomUUID } from "node:crypto";
@@ -29,7 +29,7 @@
 const MAX_WRITE_ATTEMPTS = 20;
 const RETRY_AFTER_MS = 1000;
 /**
- * A larger answer is not storedObject; a repeat of its key is told that the request
+ * A larger answer is not stored; a repeat of its key is told that the request
  * ran.
  */
 const MAX_STORED_ANSWER_BYTES = 4096;
