--- a/src/control/controlStore.ts
+++ b/src/control/controlStore.ts
@@ -81,9 +81,7 @@
       );
       if (version !== undefined) return answer;
     }
-    throw new OrderError(
-      "order not written: too many concurrent updates of the control record",
-    );
+    throw new OrderError("too many writers; nothing was changed");
   }
 
   private async write<T>(
