--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -126,7 +126,7 @@
       res.setHeader("connection", "close");
       return sendCallerFailure(res, id, bodyTooLargeFailure(err.message));
     }
-    this.options.log.error("request processing failed", {
+    this.options.log.error("request handler failed", {
       requestId: id,
       cause: errText(err),
     });
