--- a/src/operator/operatorServer.ts
+++ b/src/operator/operatorServer.ts
@@ -60,10 +60,8 @@
   }
 
   private async answer(req: http.IncomingMessage): Promise<OperatorAnswer> {
-    const authError = this.authErrorOf(req);
-    if (authError !== undefined) {
-      return { kind: "unauthorized", text: authError };
-    }
+    const error = this.authErrorOf(req);
+    if (error !== undefined) return { kind: "unauthorized", text: error };
     const body = await readBody(req, MAX_BODY_BYTES);
     const by = this.operatorNameOf(req);
     const ctx: OperatorContext = { ...this.options.context, by };
