--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -41,7 +41,7 @@
   ): { target: string; run: () => Promise<void> } | undefined;
 }
 
-const defineFault = <T,>(fault: Fault<T>): AnyFault => ({
+const defineFault = <T>(fault: Fault<T>): AnyFault => ({
   name: fault.name,
   isPlanned: fault.isPlanned,
   prepare: (context) => {
@@ -354,7 +354,7 @@
 
   private injectFault(): void {
     const { fleet, rng } = this;
-    const draw = <T,>(items: readonly T[]) => drawOne(items, rng);
+    const draw = <T>(items: readonly T[]) => drawOne(items, rng);
     const wait = (minMs: number, maxMs: number) => this.wait(minMs, maxMs);
     const chosen = draw(this.faults);
     const record: FaultRecord = {
