--- a/src/scheduling/prefillPlanner.ts
+++ b/src/scheduling/prefillPlanner.ts
@@ -20,8 +20,8 @@
  * Links carry a token in 0.1 microseconds, but transfers queue behind each
  * other.
  */
-const MOVE_MS = 1;
-const MOVE_MS_PER_TOKEN = 0.0004;
+const COPY_MS = 1;
+const COPY_MS_PER_TOKEN = 0.0004;
 
 export interface PrefillPlan {
   engine: EngineState;
@@ -90,18 +90,18 @@
   donor: Donor | undefined,
   now: number,
 ): PrefillPlan => {
-  const own = cache.cachedTokens(engine);
-  const more = (donor?.cached ?? 0) - own;
-  const isWorth = donor !== undefined && more >= MIN_DONATED_TOKENS;
-  const cached = isWorth ? donor.cached : own;
-  const moveMs = isWorth ? MOVE_MS + more * MOVE_MS_PER_TOKEN : 0;
-  const costMs = engine.prefillCostMs(request.promptTokens, cached) + moveMs;
+  const ownCached = cache.cachedTokens(engine);
+  const extraTokens = (donor?.cached ?? 0) - ownCached;
+  const shouldCopy = donor !== undefined && extraTokens >= MIN_DONATED_TOKENS;
+  const cached = shouldCopy ? donor.cached : ownCached;
+  const copyMs = shouldCopy ? COPY_MS + extraTokens * COPY_MS_PER_TOKEN : 0;
+  const costMs = engine.prefillCostMs(request.promptTokens, cached) + copyMs;
   const endMs = engine.backlogMs(now) + costMs;
   return {
     engine,
     cached,
     costMs,
     endMs,
-    donor: isWorth ? donor.engine : undefined,
+    donor: shouldCopy ? donor.engine : undefined,
   };
 };
