--- a/src/placement/leaseKeeper.ts
+++ b/src/placement/leaseKeeper.ts
@@ -180,7 +180,7 @@
    * and every process that knew them may be gone too. Store positions still
    * increase, and each lease is taken at a later position than the one before,
    * so after a restore the position serves as the epoch. No holder of an
-   * earlier era has used it, nor one hidden by a late write.
+   * earlier era has used it, not even one whose lease a late write has hidden.
    */
   private get nextEpoch(): number {
     const { era } = decodePosition(this.readAt);
--- a/src/placement/placementClient.ts
+++ b/src/placement/placementClient.ts
@@ -38,11 +38,11 @@
  */
 const ANSWER_TIMEOUT_MS = 90;
 /**
- * Events are batched with a request or other events for this long, ms:
- * prefill ends, after which the holder assigns the next prefills, …
+ * How long a prefill end is held to be batched with a request or other events,
+ * ms. The holder assigns the next prefills after it.
  */
 const PREFILL_EVENT_DELAY_MS = 6;
-/** … and all others, which free capacity. */
+/** The same for all other events, which free capacity, ms. */
 const EVENT_DELAY_MS = 30;
 /** Timeout for the holder to accept the stream, ms. */
 const CONNECT_TIMEOUT_MS = 1000;
@@ -263,8 +263,8 @@
     this.watchHolderState(standbyRank);
     if (reply.config !== undefined) this.onConfig(reply.config);
     if (reply.rates.length > 0) {
-      const told = reply.rates.map(fromRateNews);
-      this.options.onRates(told.filter((news) => news !== undefined));
+      const received = reply.rates.map(fromRateNews);
+      this.options.onRates(received.filter((news) => news !== undefined));
     }
     if (reply.permit !== undefined)
       this.permitRequests.resolveReply(reply.permit);
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -244,8 +244,8 @@
       this.options.onUsage(process, { seq, counts });
     }
     if (configAsk !== undefined) this.sendConfig(service, stream, configAsk);
-    for (const told of call.rates) {
-      const news = fromRateNews(told);
+    for (const received of call.rates) {
+      const news = fromRateNews(received);
       if (news !== undefined) this.options.onRate(news);
     }
     if (call.permitAsk !== undefined) {
@@ -254,8 +254,8 @@
       const state = this.state(service, stream, 0);
       stream.write({ ...toPlaceReply("", undefined, state), permit });
     }
-    for (const told of call.events) {
-      const event = fromPlaceEvent(told);
+    for (const received of call.events) {
+      const event = fromPlaceEvent(received);
       if (event === undefined) continue;
       if (event.kind === "leaving") this.options.onEngineLeaving(event.engine);
       placement.reportEvent(service, event);
--- a/src/placement/ratePermits.ts
+++ b/src/placement/ratePermits.ts
@@ -49,8 +49,8 @@
     if (connection.keeper.isFresh) return { fraction: 1, isAllocator };
     // Others may have found another holder: count only the entries still
     // connected here.
-    const here = this.options.connectedEntries(connection.service);
-    return { fraction: Math.min(1, here / entries), isAllocator };
+    const connectedHere = this.options.connectedEntries(connection.service);
+    return { fraction: Math.min(1, connectedHere / entries), isAllocator };
   }
 
   /**
--- a/src/placement/sharedPlacement.ts
+++ b/src/placement/sharedPlacement.ts
@@ -147,12 +147,12 @@
     const connection = this.connections.get(service);
     if (connection === undefined) return ASSUMED_ENTRIES;
     const entries = connection.entryCount ?? ASSUMED_ENTRIES;
-    const guess = Math.max(1, entries * BUSY_FRACTION);
-    if (!connection.keeper.isHolder) return guess;
+    const estimate = Math.max(1, entries * BUSY_FRACTION);
+    if (!connection.keeper.isHolder) return estimate;
     // If this process can't reach the store, others may have found another
     // holder.
     const isAlone = this.options.connectedEntries(service) <= 1;
-    return isAlone && !connection.keeper.isFresh ? guess : 1;
+    return isAlone && !connection.keeper.isFresh ? estimate : 1;
   }
 
   isHolder(service: string): boolean {
