--- a/src/rateLimits/permitBucket.ts
+++ b/src/rateLimits/permitBucket.ts
@@ -6,11 +6,11 @@
 import { addTokens, takeTokens } from "../shared/tokenBucket.js";
 import type { TokenBucket } from "../shared/tokenBucket.js";
 
-/** Burst capacity as time at the current rate, ms, … */
+/** Burst capacity as time at the current rate, ms. */
 const BURST_MS = 500;
 /**
- * … and its minimum in permits: with one, permits are lost while they wait for
- * a request.
+ * Minimum burst capacity in permits: with one, permits are lost while they wait
+ * for a request.
  */
 const MIN_CAPACITY = 2;
 const MS_PER_SECOND = 1000;
--- a/src/rateLimits/rateLimits.ts
+++ b/src/rateLimits/rateLimits.ts
@@ -25,11 +25,11 @@
 /** A higher reported limit counts as none. */
 const MAX_PER_S = 1_000_000;
 /**
- * After its end, a limit doubles in this time, ms, …: all senders are released
- * at the same moment and would bring back the load that overloaded the replica.
+ * After its end, a limit doubles in this time, ms: all senders are released at
+ * the same moment and would bring back the load that overloaded the replica.
  */
 const DOUBLING_MS = 1000;
-/** … and is forgotten after this, ms. */
+/** Time after its end at which a limit is forgotten, ms. */
 const RETENTION_MS = 8000;
 /**
  * A limit counts as throttling if it held a request back within this time, ms.
