--- a/src/gateway/placementRole.ts
+++ b/src/gateway/placementRole.ts
@@ -28,12 +28,12 @@
 const PLACEMENT_LEASE_MS = 1500;
 /** Interval for renewing leases, planning stages and expiring grants, ms. */
 const STEP_INTERVAL_MS = 300;
-/** An entry waits this many lease durations for a scheduler to take over, … */
-const ENTRY_TAKEOVER_DELAY_LEASES = 3;
 /**
- * … unless it has at least this many cores for placement, which is what a
- * holder needs for a large fleet.
+ * An entry waits this many lease durations for a scheduler to take over, unless
+ * it has at least `MIN_HOLDER_CORES`.
  */
+const ENTRY_TAKEOVER_DELAY_LEASES = 3;
+/** Cores for placement that the holder of a large fleet needs. */
 const MIN_HOLDER_CORES = 0.6;
 
 /** Type of the process that takes part in placement. */
--- a/src/gateway/promptPrefiller.ts
+++ b/src/gateway/promptPrefiller.ts
@@ -11,9 +11,12 @@
 import type { PrefillHandle } from "./types.js";
 import { readWholeBody } from "./upstreamClient.js";
 
-/** An engine is first probed after this many times the expected time, … */
+/**
+ * An engine is first probed after this many times the expected time plus
+ * `PREFILL_SLACK_MS`.
+ */
 const PREFILL_PROBE_FACTOR = 2;
-/** … plus this, for network hops and the error of the estimate, ms. */
+/** Allows for network hops and the error of the estimate, ms. */
 const PREFILL_SLACK_MS = 250;
 
 export type PrefillOutcome =
--- a/src/gateway/quarantineManager.ts
+++ b/src/gateway/quarantineManager.ts
@@ -84,7 +84,10 @@
     this.logRecordChanges();
   }
 
-  /** Called before a request is processed; why it may not run, if so. */
+  /**
+   * Called before a request is processed; returns why it may not run, undefined
+   * if it may.
+   */
   async admit(caller: CallerRequest): Promise<RequestFailure | undefined> {
     if (!this.quarantine.mayBeTracked(caller.body.length)) return undefined;
     const verdict = this.quarantine.verdict(
