--- a/src/workspaces/configFreshness.ts
+++ b/src/workspaces/configFreshness.ts
@@ -9,8 +9,8 @@
 
 /**
  * Maximum time for which a watch of the store may miss changes, ms. An answer
- * without changes therefore only proves the state before that time. From the
- * platform's page on how a store forgets its history.
+ * without changes therefore only proves the state before that time. The
+ * platform documents the bound with how a store forgets its history.
  */
 export const MAX_WATCH_LAG_MS = 1000;
 
