--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -232,7 +232,10 @@
     if (this.waiting.length === 1) this.pruneTags();
   }
 
-  /** Deletes tags at or behind the virtual time, which have no effect, to bound the map. */
+  /**
+   * Deletes tags at or behind the virtual time, which have no effect, to bound
+   * the map.
+   */
   private pruneTags(): void {
     for (const [key, tag] of this.finishTags) {
       if (tag <= this.virtualTime) this.finishTags.delete(key);
