--- a/src/gateway/cacheListLoader.ts
+++ b/src/gateway/cacheListLoader.ts
@@ -46,7 +46,7 @@
     const parts = counts.reduce((sum, count) => sum + count, 0);
     const tookMs = Math.round(now() - begun);
     const fields = { service, epoch, engines: engines.length, parts, tookMs };
-    log.info("engine cache lists loaded", fields);
+    log.info("caches asked", fields);
   }
 
   /** Loads one engine's list; returns the number of parts, 0 on failure. */
--- a/src/placement/placementServer.ts
+++ b/src/placement/placementServer.ts
@@ -213,7 +213,7 @@
     } catch (err) {
       const id = ask?.id ?? held?.ask?.id;
       const fields = { service, id, why: errText(err) };
-      this.options.log.error("placement call failed", fields);
+      this.options.log.error("placement call threw", fields);
       if (ask === undefined) return;
       this.open.get(stream)?.delete(ask.id);
       this.options.placement.cancel(service, ask.id);
